--- a/benchmarks/client_cost.py
+++ b/benchmarks/client_cost.py
@@ -24,7 +24,7 @@
 path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from sorreldock.client import Client, Request
-from sorreldock.client.stats import LONGEST_US, summary
+from sorreldock.client.stats import MAX_RECORDED_US, summary
 
 REQUEST = Request("alt-text", BODY, "state-news", "s1", "p1", 900, 600, 80)
 BARE = (
@@ -38,7 +38,7 @@
 def histogram() -> Any:
     from hdrh.histogram import HdrHistogram
 
-    return HdrHistogram(1, LONGEST_US, 3)
+    return HdrHistogram(1, MAX_RECORDED_US, 3)
 
 
 def figures(took: Any, cpu_s: float, calls: int) -> dict[str, Any]:
--- a/sorreldock/client/blocking.py
+++ b/sorreldock/client/blocking.py
@@ -90,7 +90,7 @@
     def close(self) -> None:
         """End all calls, in other threads too, and the loop. In a forked child it only lets go."""
         if os.getpid() != self._pid:
-            self._client._shared.pool.forget()
+            self._client._shared.pool.close_after_fork()
             self._portal = None
             return
         if self._portal is not None and self._entered is not None and self._thread is not None:
--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -14,7 +14,7 @@
 from .policy.refusal import Pauses
 from .policy.retry import Budget, RetryRules, Then
 from .pool import Pool
-from .sockets import DialFailed, Lost
+from .sockets import ConnectionLost, DialFailed
 from .stats import Stats
 from .types import Broken, ClientError, ClientSettings, DeadlineExceeded, Failed, Refused, Request
 from .wire import Exchange, Line, Mark, outcome_of
@@ -130,7 +130,7 @@
             got = await exchange.first()
             if not isinstance(got, Outcome):
                 self.shared.answer_time.learn(anyio.current_time() - sent_at)
-        except Lost as lost:
+        except ConnectionLost as lost:
             if asked and not sent:
                 self._count(first_send, mark)
             since = anyio.current_time() - sent_at
--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -21,7 +21,7 @@
 from .policy.refusal import Pauses
 from .policy.retry import Budget, RetryRules
 from .pool import Pool
-from .sockets import Dial, Lost, dial
+from .sockets import ConnectionLost, Dial, dial
 from .stats import Stats
 from .types import (
     PROTOCOLS,
@@ -137,8 +137,8 @@
                 event = await exchange.next()
             if silence.cancelled_caught:
                 self._client._silent(self._call)
-                raise Lost(f"nothing came for {self._client.settings.silence_s:g} s")
-        except Lost as lost:
+                raise ConnectionLost(f"nothing came for {self._client.settings.silence_s:g} s")
+        except ConnectionLost as lost:
             self._call.let_go()  # the first is closed before anything asks for the rest
             event = await self._ask_for_rest(lost)
         if event is None:
@@ -146,7 +146,7 @@
             return None
         return self._take(event)
 
-    async def _ask_for_rest(self, lost: Lost) -> bytes | None:
+    async def _ask_for_rest(self, lost: ConnectionLost) -> bytes | None:
         call = self._call
         if not self._resume or self.resumed or not call.deadline.allows(anyio.current_time()):
             raise self._broken(lost.cause)
@@ -252,7 +252,7 @@
     ) -> bool | None:
         if os.getpid() != self._pid:  # a forked child: the connections are the parent's
             self._closed = True
-            self._shared.pool.forget()
+            self._shared.pool.close_after_fork()
             return None
         self.close()
         group, self._group = self._group, None
--- a/sorreldock/client/http.py
+++ b/sorreldock/client/http.py
@@ -12,7 +12,7 @@
 
 from .policy.outcome import Kind, Outcome
 from .policy.refusal import retry_after
-from .sockets import Lost, Socket
+from .sockets import ConnectionLost, Socket
 from .types import Request
 from .wire import Exchange, Line, Mark
 
@@ -44,7 +44,7 @@
         self._held = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The events that are whole now, unchanged. Lost for one that never ends."""
+        """The events that are whole now, unchanged. ConnectionLost for one that never ends."""
         held = self._held + data if self._held else data
         events, start = [], 0
         for blank in BLANK.finditer(held):
@@ -52,7 +52,7 @@
             start = blank.end()
         self._held = held[start:]
         if len(self._held) > self._largest:
-            raise Lost("an event without an end")
+            raise ConnectionLost("an event without an end")
         return events
 
     def rest(self) -> bytes:
@@ -89,16 +89,16 @@
     async def event(self) -> h11.Event | type[h11.PAUSED]:
         while True:
             if self._fault is not None:
-                raise Lost(f"not an answer: {self._fault}")
+                raise ConnectionLost(f"not an answer: {self._fault}")
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise Lost(f"not an answer: {error}") from None
+                raise ConnectionLost(f"not an answer: {error}") from None
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             data = await self.socket.receive()
             if not data and self.parser.their_state is h11.SEND_RESPONSE:
-                raise Lost("closed by the router")
+                raise ConnectionLost("closed by the router")
             self.parser.receive_data(data)
 
     def read_already(self) -> h11.Event | None:
@@ -159,9 +159,9 @@
         data += parser.send(h11.EndOfMessage()) or b""
         try:
             await self.line.socket.send(data)
-        except Lost:
+        except ConnectionLost:
             # The router may have answered and closed before it had read all: its answer counts.
-            if not self.line.socket.spoken():
+            if not self.line.socket.is_readable():
                 raise
         return True
 
@@ -170,7 +170,7 @@
         while isinstance(event := await line.event(), h11.InformationalResponse):
             pass
         if not isinstance(event, h11.Response):
-            raise Lost("closed by the router")
+            raise ConnectionLost("closed by the router")
         headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
         self.begun = event.status_code == 200
         if "close" in headers.get("connection", "").lower():
@@ -191,7 +191,7 @@
                     if size > LARGEST_REST:
                         return
                 self.whole = isinstance(event, h11.EndOfMessage)
-            except Lost:
+            except ConnectionLost:
                 pass
 
     def ready(self) -> bytes | None:
@@ -215,7 +215,7 @@
             if rest := self._cutter.rest():
                 self._events.append(rest)
         else:
-            raise Lost("closed without the last chunk")
+            raise ConnectionLost("closed without the last chunk")
 
     def close(self, now: float) -> None:
         if self._closed:
--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -30,7 +30,7 @@
 )
 from .policy.outcome import Kind, Outcome
 from .policy.refusal import pushback
-from .sockets import Lost, Socket
+from .sockets import ConnectionLost, Socket
 from .types import Request
 from .wire import Exchange, Line, Mark
 
@@ -96,7 +96,7 @@
         self._farewells = Farewells(preface=False)
         self._pending = self.h2.data_to_send()
         self._wake = anyio.Event()
-        self._lost: Lost | None = None
+        self._lost: ConnectionLost | None = None
         self._written = 0  # bytes, and how many were to be written in all
         self._queued = len(self._pending)
 
@@ -116,21 +116,21 @@
 
     async def run(self) -> None:
         """Read and write until the connection ends; whoever waits on it then hears why."""
-        lost = Lost("closed here")
+        lost = ConnectionLost("closed here")
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
                 try:
                     await self._read()
-                except Lost as error:
+                except ConnectionLost as error:
                     lost = error
                 except (h2.exceptions.ProtocolError, GrpcError) as error:
-                    lost = Lost(f"not HTTP/2: {error}")
+                    lost = ConnectionLost(f"not HTTP/2: {error}")
                 group.cancel_scope.cancel()
         finally:
             self._end(lost)
 
-    def _end(self, lost: Lost) -> None:
+    def _end(self, lost: ConnectionLost) -> None:
         if self._lost is None:
             self._lost = lost
             for exchange in list(self.exchanges.values()):
@@ -140,7 +140,7 @@
         while True:
             data = await self.socket.receive()
             if not data:
-                raise Lost("closed by the router")
+                raise ConnectionLost("closed by the router")
             self.heard_at, self.pinged_at = anyio.current_time(), None
             rest, farewells = self._farewells.strip(data)
             for event in self.h2.receive_data(rest):
@@ -149,7 +149,7 @@
                 self._said_farewell(farewell)
             self.flush()
             if self.going and not self.taken:
-                raise Lost("the router has said goodbye")
+                raise ConnectionLost("the router has said goodbye")
 
     def _said_farewell(self, farewell: Farewell) -> None:
         if not self.going:
@@ -177,7 +177,7 @@
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
                     exchange.end(Outcome(Kind.NEVER_RAN, "REFUSED_STREAM", stale=True))
                 elif not exchange.ended:
-                    exchange.lose(Lost(f"the stream was reset with error {event.error_code}"))
+                    exchange.lose(ConnectionLost(f"the stream was reset with error {event.error_code}"))
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for waiting in self.exchanges.values():
                     waiting.notify()
@@ -208,7 +208,7 @@
                 data, self._pending = self._pending, b""
                 await self.socket.send(data)
                 self._written += len(data)
-        except Lost as lost:
+        except ConnectionLost as lost:
             self._end(lost)
 
     def ping_if_quiet(self, now: float, after_s: float) -> bool:
@@ -223,11 +223,11 @@
 
     def fail(self, cause: str) -> None:
         """End all that is on it: its machine has gone."""
-        self._end(Lost(cause))
+        self._end(ConnectionLost(cause))
         self.close()
 
     def close(self) -> None:
-        self._end(Lost("closed here"))
+        self._end(ConnectionLost("closed here"))
         self.socket.close()
 
 
@@ -244,7 +244,7 @@
         self._number = 0
         self._sent_at_mark = 0
         self._outcome: Outcome | None = None
-        self._lost: Lost | None = None
+        self._lost: ConnectionLost | None = None
         self._closed = False
         self.ended = False
         self._changed = anyio.Event()
@@ -264,10 +264,10 @@
         self._unframer.feed(data)
         self.notify()
 
-    def lose(self, lost: Lost) -> None:
+    def lose(self, lost: ConnectionLost) -> None:
         if not self.ended and self._outcome is None:
             unwritten = self._number == 0 or not self.line.written(self._sent_at_mark)
-            self._lost = Lost(lost.cause, unread=lost.unread or unwritten)
+            self._lost = ConnectionLost(lost.cause, unread=lost.unread or unwritten)
             self.notify()
 
     def end(self, outcome: Outcome) -> None:
@@ -324,7 +324,7 @@
         except h2.exceptions.StreamClosedError:
             self._check()  # the answer came before the request was whole
         except h2.exceptions.ProtocolError as error:
-            raise Lost(str(error), unread=True) from None
+            raise ConnectionLost(str(error), unread=True) from None
         self._sent_at_mark = line.flush()
         return True
 
@@ -344,7 +344,7 @@
             try:
                 message = self._unframer.next()
             except GrpcError as error:
-                raise Lost(error.message) from None
+                raise ConnectionLost(error.message) from None
             if message is not None or self._unframer.partial:  # a long message needs room to go on
                 self.line.acknowledge(self._unacknowledged, self._number)
                 self._unacknowledged = 0
@@ -354,7 +354,7 @@
                 return self._event(message)
             if self._outcome is not None:
                 if not opening:
-                    raise Lost(self._outcome.cause)
+                    raise ConnectionLost(self._outcome.cause)
                 return None
             self._check()
             if self.ended:
@@ -363,7 +363,7 @@
                     self.whole = True
                     return None
                 if not opening:
-                    raise Lost(f"grpc-status {code}: {text}")
+                    raise ConnectionLost(f"grpc-status {code}: {text}")
                 self._outcome = outcome_of_status(code, text, self._fields)
                 return None
             await changed.wait()
@@ -373,9 +373,9 @@
         try:
             said = pb.ModelStreamInferResponse.FromString(message)
         except DecodeError:
-            raise Lost("a message that can't be read") from None
+            raise ConnectionLost("a message that can't be read") from None
         if said.error_message:
-            raise Lost(said.error_message[:200])
+            raise ConnectionLost(said.error_message[:200])
         return message
 
     def close(self, now: float) -> None:
--- a/sorreldock/client/pool.py
+++ b/sorreldock/client/pool.py
@@ -46,7 +46,7 @@
     # Taking.
 
     def _usable(self, line: Line) -> bool:
-        return line.room > 0 and (self.protocol == "kserve" or not line.socket.spoken())
+        return line.room > 0 and (self.protocol == "kserve" or not line.socket.is_readable())
 
     def take(self, address: str) -> Line | None:
         """A line with room, the one used last first, so that others grow idle and close; None: dial."""
@@ -187,12 +187,12 @@
                 self.drop(line)
         self.notify()
 
-    def forget(self) -> None:
+    def close_after_fork(self) -> None:
         """In a forked child: let this process's copies of the descriptors go, and say nothing on them."""
         self.closed = True
         for lines in self.lines.values():
             for line in lines:
-                line.socket.forget()
+                line.socket.close_after_fork()
         self.lines.clear()
 
     def left(self, addresses: list[str]) -> None:
@@ -227,7 +227,7 @@
             elif not line.busy:
                 if now - line.at_rest_since >= idle_s:
                     self.drop(line)
-                elif not isinstance(line, KserveLine) and line.socket.spoken():
+                elif not isinstance(line, KserveLine) and line.socket.is_readable():
                     self._lost(line, idle=True)
 
     async def _reopen_one(self, now: float) -> None:
--- a/sorreldock/client/sockets.py
+++ b/sorreldock/client/sockets.py
@@ -14,7 +14,7 @@
 CHUNK = 64 * 1024
 
 
-class Lost(Exception):
+class ConnectionLost(Exception):
     """The connection ended. `unread`: the peer can't have read all that was sent."""
 
     def __init__(self, cause: str, unread: bool = False) -> None:
@@ -32,20 +32,20 @@
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self.closed = False
-        self.sent_whole = True
+        self.all_sent = True
 
     async def send(self, data: bytes) -> None:
         """All of it; Lost when the peer has gone."""
         view = memoryview(data)
-        self.sent_whole = False
+        self.all_sent = False
         while view:
             try:
                 view = view[self._sock.send(view) :]
             except (BlockingIOError, InterruptedError):
                 await self._writable()
             except OSError as error:
-                raise Lost(_said(error), unread=True) from None
-        self.sent_whole = True
+                raise ConnectionLost(_said(error), unread=True) from None
+        self.all_sent = True
 
     async def receive(self) -> bytes:
         """What has arrived; b"" once the peer has ended its sending. Lost for a reset."""
@@ -56,13 +56,13 @@
                 await self._readable()
             except OSError as error:
                 # A reset: the peer's machine held bytes that nobody had read, or knew no such connection.
-                raise Lost(_said(error), unread=True) from None
+                raise ConnectionLost(_said(error), unread=True) from None
 
     def unread_by_peer(self) -> bool:
         """Whether, after the peer's end, some of what was sent had not even reached its machine, or was
         turned away there: then nobody has read the whole of it.
         """
-        if not self.sent_whole:
+        if not self.all_sent:
             return True
         try:
             if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -73,7 +73,7 @@
         except OSError:
             return True
 
-    def spoken(self) -> bool:
+    def is_readable(self) -> bool:
         """Whether the peer has said something or has gone, unasked."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -87,13 +87,13 @@
         try:
             await anyio.wait_readable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise Lost("closed here") from None
+            raise ConnectionLost("closed here") from None
 
     async def _writable(self) -> None:
         try:
             await anyio.wait_writable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise Lost("closed here") from None
+            raise ConnectionLost("closed here") from None
 
     def close(self) -> None:
         if not self.closed:
@@ -102,7 +102,7 @@
                 anyio.notify_closing(self._sock)
                 self._sock.close()
 
-    def forget(self) -> None:
+    def close_after_fork(self) -> None:
         """Close this process's copy alone, without the event loop: for a forked child."""
         self.closed = True
         self._sock.close()
--- a/sorreldock/client/stats.py
+++ b/sorreldock/client/stats.py
@@ -6,12 +6,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-LONGEST_US = 3_600_000_000
+MAX_RECORDED_US = 3_600_000_000
 DIGITS = 3
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_US, DIGITS)
+    return HdrHistogram(1, MAX_RECORDED_US, DIGITS)
 
 
 @dataclass
@@ -46,7 +46,7 @@
 
     @staticmethod
     def record(histogram: HdrHistogram, seconds: float) -> None:
-        histogram.record_value(min(max(int(seconds * 1e6), 1), LONGEST_US))
+        histogram.record_value(min(max(int(seconds * 1e6), 1), MAX_RECORDED_US))
 
     def counters(self) -> dict[str, int]:
         return {f.name: v for f in fields(self) if isinstance(v := getattr(self, f.name), int)}
--- a/sorreldock/client/wire.py
+++ b/sorreldock/client/wire.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from .policy.outcome import Kind, Outcome
-from .sockets import Lost, Socket
+from .sockets import ConnectionLost, Socket
 from .types import Request
 
 CROSSING_S = 0.25  # a reset this soon after the last byte: the router's end crossed the request
@@ -79,7 +79,7 @@
         """Let go of the line; an exchange that is not over is cancelled."""
 
 
-def outcome_of(lost: Lost, line: Line, begun: bool, sent: bool, since_sent_s: float) -> Outcome:
+def outcome_of(lost: ConnectionLost, line: Line, begun: bool, sent: bool, since_sent_s: float) -> Outcome:
     """What a connection that ended before the first event means for the request (RFC 9112 9.3.1, and the
     platform's page: sent once more only if the router has not read it).
     """
--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -8,7 +8,7 @@
 import trio
 
 from ...client import Client, ClientError, ClientSettings, Request
-from ...client.sockets import DialFailed, Lost, Socket
+from ...client.sockets import ConnectionLost, DialFailed, Socket
 from .clients import GRPC_PORT, HTTP_PORT, body_of
 from .network import Host, VirtualSocket
 from .scenario import RequestPlan
@@ -23,38 +23,38 @@
     def __init__(self, sock: VirtualSocket) -> None:
         self._virtual = sock
         self.closed = False
-        self.sent_whole = True
+        self.all_sent = True
 
     async def send(self, data: bytes) -> None:
-        self.sent_whole = False
+        self.all_sent = False
         try:
             await self._virtual.send_all(data)
         except trio.ClosedResourceError:
-            raise Lost("closed here") from None
+            raise ConnectionLost("closed here") from None
         except OSError as error:
-            raise Lost(str(error.strerror).lower(), unread=True) from None
-        self.sent_whole = True
+            raise ConnectionLost(str(error.strerror).lower(), unread=True) from None
+        self.all_sent = True
 
     async def receive(self) -> bytes:
         try:
             return await self._virtual.recv()
         except trio.ClosedResourceError:
-            raise Lost("closed here") from None
+            raise ConnectionLost("closed here") from None
         except OSError as error:
-            raise Lost(str(error.strerror).lower(), unread=True) from None
+            raise ConnectionLost(str(error.strerror).lower(), unread=True) from None
 
     def unread_by_peer(self) -> bool:
         pipe = self._virtual.outbox
-        return not self.sent_whole or pipe is None or pipe.broken or pipe.reader_gone
+        return not self.all_sent or pipe is None or pipe.broken or pipe.reader_gone
 
-    def spoken(self) -> bool:
+    def is_readable(self) -> bool:
         return self._virtual.closed or self._virtual.is_readable()
 
     def close(self) -> None:
         self.closed = True
         self._virtual.close()
 
-    def forget(self) -> None:
+    def close_after_fork(self) -> None:
         self.closed = True
 
 
