--- a/sorreldock/client/blocking.py
+++ b/sorreldock/client/blocking.py
@@ -50,7 +50,7 @@
         self._backend = backend
         self._portal: BlockingPortal | None = None
         self._thread: threading.Thread | None = None
-        self._entered: AbstractContextManager[object] | None = None
+        self._client_context: AbstractContextManager[object] | None = None
         self._pid = os.getpid()
 
     def __enter__(self) -> Self:
@@ -75,8 +75,8 @@
         self._thread = threading.Thread(target=run, name="sorreldock-client", daemon=True)
         self._thread.start()
         self._portal = started.result()
-        self._entered = self._portal.wrap_async_context_manager(self._client)
-        self._entered.__enter__()
+        self._client_context = self._portal.wrap_async_context_manager(self._client)
+        self._client_context.__enter__()
         return self
 
     def __exit__(
@@ -93,14 +93,14 @@
             self._client._shared.pool.close_after_fork()
             self._portal = None
             return
-        if self._portal is not None and self._entered is not None and self._thread is not None:
+        if self._portal is not None and self._client_context is not None and self._thread is not None:
             portal, self._portal = self._portal, None
             portal.call(self._client.close)
-            self._entered.__exit__(None, None, None)
+            self._client_context.__exit__(None, None, None)
             portal.call(portal.stop)
             self._thread.join()
 
-    def _open(self) -> BlockingPortal:
+    def _require_portal(self) -> BlockingPortal:
         if os.getpid() != self._pid:
             raise ClientClosed(f"this client belongs to process {self._pid}: make one after the fork")
         if self._portal is None:
@@ -109,19 +109,19 @@
 
     @contextmanager
     def stream(self, request: Request, timeout_s: float, *, resume: bool | None = None) -> Iterator[Answer]:
-        portal = self._open()
-        made = self._client.stream(request, timeout_s, resume=resume)
-        with portal.wrap_async_context_manager(made) as answer:
+        portal = self._require_portal()
+        stream = self._client.stream(request, timeout_s, resume=resume)
+        with portal.wrap_async_context_manager(stream) as answer:
             yield Answer(portal, answer)
 
     def ask(self, request: Request, timeout_s: float, *, resume: bool | None = None) -> asynchronous.Whole:
         async def ask() -> asynchronous.Whole:
             return await self._client.ask(request, timeout_s, resume=resume)
 
-        return self._open().call(ask)
+        return self._require_portal().call(ask)
 
     def update_routers(self, routers: Iterable[str | Endpoint]) -> None:
-        self._open().call(self._client.update_routers, list(routers))
+        self._require_portal().call(self._client.update_routers, list(routers))
 
     def stats(self) -> Stats:
         return self._client.stats()
--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -8,16 +8,16 @@
 
 import anyio
 
-from .policy.deadline import Deadline, Way
-from .policy.outcome import Kind, Outcome
+from .policy.deadline import Deadline, DurationEstimate
+from .policy.outcome import Outcome, OutcomeKind
 from .policy.picker import Picker, Router
 from .policy.refusal import Pauses
-from .policy.retry import Budget, RetryRules, Then
+from .policy.retry import NextStep, RetryBudget, RetryRules
 from .pool import Pool
 from .sockets import ConnectionLost, DialFailed
 from .stats import Stats
 from .types import Broken, ClientError, ClientSettings, DeadlineExceeded, Failed, Refused, Request
-from .wire import Exchange, Line, Mark, outcome_of
+from .wire import AttemptMark, Connection, Exchange, outcome_of
 
 
 @dataclass
@@ -28,8 +28,8 @@
     picker: Picker
     pool: Pool
     pauses: Pauses
-    budget: Budget
-    answer_time: Way  # from a request's last byte to the first event, learned
+    budget: RetryBudget
+    answer_time: DurationEstimate  # from a request's last byte to the first event, learned
     rules: RetryRules
     stats: Stats
     rng: random.Random
@@ -42,44 +42,44 @@
         self.shared, self.request, self.deadline = shared, request, deadline
         self.attempts = self.retries = self.resends = 0
         self.router = ""
-        self.traces: list[str] = []
+        self.trace_ids: list[str] = []
         self.exchange: Exchange | None = None
-        self._held: Router | None = None  # its `outstanding` counts this call
-        self._line: Line | None = None
-        self._last: Outcome | None = None
-        self._avoid: set[str] = set()
-        self._may_have_run = False  # an earlier attempt may have
-        self._token = False  # of the budget, taken for a retry that is not sent yet
+        self._router: Router | None = None  # its `outstanding` counts this call
+        self._connection: Connection | None = None
+        self._last_outcome: Outcome | None = None
+        self._avoided: set[str] = set()
+        self._earlier_may_have_run = False  # an earlier attempt may have
+        self._unspent_token = False  # of the budget, taken for a retry that is not sent yet
 
     async def begin(self, body: bytes, resumed: bool = False) -> bytes | None:
         """The first event, or None for a whole answer without one; or the error to raise."""
         try:
             with anyio.move_on_after(max(self.deadline.at - anyio.current_time(), 0.0)):
-                return await self._attempts(body, resumed)
-            self._expired_in_hand()
-            raise self.error(DeadlineExceeded, "no event came in time", self._sent)
+                return await self._run_attempts(body, resumed)
+            self._count_silent_router()
+            raise self.error(DeadlineExceeded, "no event came in time", self._is_attempt_open)
         except BaseException:
-            self.let_go()
+            self.release()
             raise
 
     @property
-    def _sent(self) -> bool:
+    def _is_attempt_open(self) -> bool:
         """Whether the attempt in hand has been written, at least in part."""
         return self.exchange is not None
 
-    async def _attempts(self, body: bytes, resumed: bool) -> bytes | None:
+    async def _run_attempts(self, body: bytes, resumed: bool) -> bytes | None:
         shared = self.shared
         while True:
-            line, router = await self._acquire()
-            self._hold(router, line)
-            mark = Mark(f"{shared.rng.getrandbits(64):016x}", self.retries, resumed)
-            outcome, event = await self._attempt(line, router, body, mark)
+            connection, router = await self._acquire_connection()
+            self._assign(router, connection)
+            mark = AttemptMark(f"{shared.rng.getrandbits(64):016x}", self.retries, resumed)
+            outcome, event = await self._attempt(connection, router, body, mark)
             if outcome is None:
-                shared.picker.answered(router)
+                shared.picker.record_answer(router)
                 return event
             now = anyio.current_time()
-            self._account(outcome, line, router, now)
-            self.let_go()
+            self._record_outcome(outcome, connection, router, now)
+            self.release()
             decision = shared.rules.after(
                 outcome,
                 rpc_class=self.request.rpc_class,
@@ -88,198 +88,210 @@
                 budget=shared.budget,
                 deadline=self.deadline,
                 now=now,
-                way_s=router.way.estimate_s,
+                round_trip_s=router.round_trip.estimate_s,
                 draw=shared.rng.random(),
             )
-            if decision.then is Then.GIVE_UP:
-                raise self.error_of(outcome)
-            self._last = outcome
-            if decision.then is Then.RESEND:
+            if decision.next_step is NextStep.GIVE_UP:
+                raise self.error_for(outcome)
+            self._last_outcome = outcome
+            if decision.next_step is NextStep.RESEND:
                 self.resends += 1
                 continue
             shared.budget.take()
-            self._token = True
+            self._unspent_token = True
             self.retries += 1
-            if outcome.kind is Kind.REFUSED:
+            if outcome.kind is OutcomeKind.REFUSED:
                 shared.stats.refusals_honoured += 1
             await anyio.sleep(max(decision.at - now, 0.0))
 
     async def _attempt(
-        self, line: Line, router: Router, body: bytes, mark: Mark
+        self, connection: Connection, router: Router, body: bytes, mark: AttemptMark
     ) -> tuple[Outcome | None, bytes | None]:
         """Send once, and wait for what comes first."""
-        exchange = line.start(self.request, body, mark)
+        exchange = connection.start(self.request, body, mark)
         self.exchange = exchange
         first_send = not self.attempts
         sent_at = math.inf
         sent = False
-        asked = False
+        write_started = False
 
-        def left() -> float | None:
-            nonlocal asked
-            asked = True
-            return self.deadline.to_send(anyio.current_time(), router.way.estimate_s)
+        def time_left() -> float | None:
+            nonlocal write_started
+            write_started = True
+            return self.deadline.time_to_send(anyio.current_time(), router.round_trip.estimate_s)
 
         try:
-            if not await exchange.send(left):
+            if not await exchange.send(time_left):
                 exchange.close(anyio.current_time())
                 self.exchange = None
                 raise self.error(DeadlineExceeded, "no time is left to send the request", False)
             sent, sent_at = True, anyio.current_time()
-            self._count(first_send, mark)
-            got = await exchange.first()
-            if not isinstance(got, Outcome):
-                self.shared.answer_time.learn(anyio.current_time() - sent_at)
+            self._count_attempt(first_send, mark)
+            result = await exchange.first_event()
+            if not isinstance(result, Outcome):
+                self.shared.answer_time.add_sample(anyio.current_time() - sent_at)
         except ConnectionLost as lost:
-            if asked and not sent:
-                self._count(first_send, mark)
-            since = anyio.current_time() - sent_at
-            line.socket_lost = self.shared.pool.protocol == "http"  # a gRPC line tells the pool itself
-            return outcome_of(lost, line, exchange.begun, sent, since), None
-        if isinstance(got, Outcome):
-            return got, None
-        return None, got
-
-    def _count(self, first: bool, mark: Mark) -> None:
+            if write_started and not sent:
+                self._count_attempt(first_send, mark)
+            since_sent_s = anyio.current_time() - sent_at
+            connection.lost_before_answer = (
+                self.shared.pool.protocol == "http"
+            )  # a gRPC line tells the pool itself
+            return outcome_of(lost, connection, exchange.begun, sent, since_sent_s), None
+        if isinstance(result, Outcome):
+            return result, None
+        return None, result
+
+    def _count_attempt(self, first: bool, mark: AttemptMark) -> None:
         shared = self.shared
         self.attempts += 1
-        self.traces.append(mark.name)
-        self._token = False
+        self.trace_ids.append(mark.trace_id)
+        self._unspent_token = False
         if first and not mark.resumed:
             shared.stats.first_sends += 1
-            shared.budget.first_send()
+            shared.budget.record_first_send()
         elif mark.resumed:
             shared.stats.resumes += 1
-        elif self._last is not None and self._last.stale and self.resends:
+        elif self._last_outcome is not None and self._last_outcome.stale and self.resends:
             shared.stats.resends += 1
-            self._last = None
+            self._last_outcome = None
         else:
             shared.stats.retries += 1
 
-    def _account(self, outcome: Outcome, line: Line, router: Router, now: float) -> None:
+    def _record_outcome(self, outcome: Outcome, connection: Connection, router: Router, now: float) -> None:
         """Tell the router's record, the pauses and the gate what the attempt came to."""
         shared = self.shared
-        self._may_have_run = self._may_have_run or outcome.may_have_run
+        self._earlier_may_have_run = self._earlier_may_have_run or outcome.may_have_run
         if outcome.router_fault:
-            shared.picker.failed(router, now)
-            self._avoid.add(router.address)
-        elif outcome.kind in (Kind.REFUSED, Kind.AT_FAULT, Kind.EXPIRED):
-            shared.picker.answered(router)
-        if outcome.kind is Kind.REFUSED and outcome.advice_s:
-            shared.pauses.ask(router.address, self.request.rpc_class, now, outcome.advice_s)
+            shared.picker.record_failure(router, now)
+            self._avoided.add(router.address)
+        elif outcome.kind in (OutcomeKind.REFUSED, OutcomeKind.INVALID_REQUEST, OutcomeKind.EXPIRED):
+            shared.picker.record_answer(router)
+        if outcome.kind is OutcomeKind.REFUSED and outcome.retry_after_s:
+            shared.pauses.add(router.address, self.request.rpc_class, now, outcome.retry_after_s)
         if outcome.stale:
-            self._avoid.add(router.address)
-        if line.socket_lost and line.carried and not outcome.begun:
-            shared.pool.lost_kept(line)
+            self._avoided.add(router.address)
+        if connection.lost_before_answer and connection.calls_completed and not outcome.begun:
+            shared.pool.kept_connection_lost(connection)
 
-    def _expired_in_hand(self) -> None:
+    def _count_silent_router(self) -> None:
         """The deadline passed over a request that a router had and never spoke of: a healthy one would have
         answered first, so this counts against it.
         """
-        if self.exchange is not None and self._held is not None:
-            self.shared.picker.failed(self._held, anyio.current_time())
+        if self.exchange is not None and self._router is not None:
+            self.shared.picker.record_failure(self._router, anyio.current_time())
 
     # A line.
 
-    async def _acquire(self) -> tuple[Line, Router]:
+    async def _acquire_connection(self) -> tuple[Connection, Router]:
         """A line to the router that gets the next attempt: one at rest, or a new one when the gate allows.
         Raises the call's error once no request could be in time any more.
         """
         shared, deadline = self.shared, self.deadline
         pool, picker, request = shared.pool, shared.picker, self.request
-        failed = ""
-        waited = False
+        last_failure = ""
+        has_waited = False
         # What answers take of late must still fit after a dial, unless that alone is half of what is left.
         # Taken once: a last moment that moved on as time passes would never come.
-        left = deadline.left(anyio.current_time())
-        answer_s = min(1.5 * shared.answer_time.estimate_s, left / 2)
+        remaining_s = deadline.remaining_s(anyio.current_time())
+        answer_s = min(1.5 * shared.answer_time.estimate_s, remaining_s / 2)
         while True:
             now = anyio.current_time()
 
-            def pause(router: Router, now: float = now) -> bool:
-                return shared.pauses.left(router.address, request.rpc_class, now) > 0
+            def is_paused(router: Router, now: float = now) -> bool:
+                return shared.pauses.remaining_s(router.address, request.rpc_class, now) > 0
 
             draws = (shared.rng.random(), shared.rng.random())
-            router = picker.pick(now, draws, pause, lambda r: pool.has_room(r.address), self._avoid)
+            router = picker.pick(
+                now, draws, is_paused, lambda r: pool.has_free_slot(r.address), self._avoided
+            )
             if router is None:
-                await self._keep_pause(now, waited)
-                waited = True
+                await self._wait_for_pause(now, has_waited)
+                has_waited = True
                 continue
-            line = pool.take(router.address)
-            if line is None and pool.reconnect.gated:  # rather a line that is there than a dial
+            connection = pool.take_idle(router.address)
+            if (
+                connection is None and pool.reconnect_gate.is_turn_pending
+            ):  # rather a line that is there than a dial
                 for other in sorted(picker.routers.values(), key=lambda r: r.outstanding):
-                    if other is router or pause(other) or not picker.admits(other, now):
+                    if other is router or is_paused(other) or not picker.is_admitted(other, now):
                         continue
-                    if (line := pool.take(other.address)) is not None:
+                    if (connection := pool.take_idle(other.address)) is not None:
                         router = other
                         break
-            if line is not None:
-                return line, router
-            latest = deadline.at - max(router.way.estimate_s + deadline.least_s, answer_s)
-            if pool.full(router.address):
-                await pool.changed(deadline.at)
+            if connection is not None:
+                return connection, router
+            latest = deadline.at - max(router.round_trip.estimate_s + deadline.min_s, answer_s)
+            if pool.is_full(router.address):
+                await pool.wait_for_change(deadline.at)
                 continue
-            at = pool.reconnect.may_dial_at(
-                now, latest, sum(pool.dialling.values()), pool.alive(router.address)
+            at = pool.reconnect_gate.next_dial_time(
+                now, latest, sum(pool.dialling.values()), pool.has_live_connection(router.address)
             )
-            if at is None and now < latest and any(pool.alive(a) for a in picker.routers):
-                await pool.changed(latest)  # no dial, but a call that is out may let go of its line
+            if at is None and now < latest and any(pool.has_live_connection(a) for a in picker.routers):
+                await pool.wait_for_change(latest)  # no dial, but a call that is out may let go of its line
                 continue
             if at is None:
-                said = f"no connection to a router in time: {failed}" if failed else "no connection in time"
-                raise self._unsendable(said)
+                cause = (
+                    f"no connection to a router in time: {last_failure}"
+                    if last_failure
+                    else "no connection in time"
+                )
+                raise self._error_before_sending(cause)
             if at > now:
-                await pool.changed(at)
+                await pool.wait_for_change(at)
                 continue
             try:
                 return await pool.dial(router), router
             except DialFailed as error:
-                failed = f"{router.address}: {error}"
-                self._avoid.add(router.address)
-                if self._avoid >= set(picker.routers):
-                    self._avoid.clear()
-                    pool.tried_all()
+                last_failure = f"{router.address}: {error}"
+                self._avoided.add(router.address)
+                if self._avoided >= set(picker.routers):
+                    self._avoided.clear()
+                    pool.all_dials_failed()
 
-    async def _keep_pause(self, now: float, waited: bool) -> None:
+    async def _wait_for_pause(self, now: float, has_waited: bool) -> None:
         """Every router that is left has asked for a pause for this class."""
         shared, rpc_class = self.shared, self.request.rpc_class
-        left = min((shared.pauses.left(a, rpc_class, now) for a in shared.picker.routers), default=0.0)
+        remaining_s = min(
+            (shared.pauses.remaining_s(a, rpc_class, now) for a in shared.picker.routers), default=0.0
+        )
         if not shared.picker.routers:
             raise self.error(Failed, "the client has no router", False)
-        spread = shared.rng.random() * max(left / 2, 0.05)
-        latest = self.deadline.at - self.deadline.least_s
-        if now + left > latest:
-            raise self._unsendable("the routers have asked for a pause", left)
-        if not waited:
+        spread = shared.rng.random() * max(remaining_s / 2, 0.05)
+        latest = self.deadline.at - self.deadline.min_s
+        if now + remaining_s > latest:
+            raise self._error_before_sending("the routers have asked for a pause", remaining_s)
+        if not has_waited:
             shared.stats.pauses_kept += 1
-        await anyio.sleep(min(left + spread, max(latest - now, 0.0)))
+        await anyio.sleep(min(remaining_s + spread, max(latest - now, 0.0)))
 
-    def _unsendable(self, cause: str, advice_s: float | None = None) -> ClientError:
+    def _error_before_sending(self, cause: str, advice_s: float | None = None) -> ClientError:
         """Nothing more can be sent in time: the last outcome is the call's error, if there was one."""
-        if self._last is not None and self._last.kind is not Kind.NEVER_RAN:
-            return self.error_of(self._last)
+        if self._last_outcome is not None and self._last_outcome.kind is not OutcomeKind.NEVER_RAN:
+            return self.error_for(self._last_outcome)
         if advice_s is not None:
             self.shared.stats.refusals_surfaced += 1
             return self.error(Refused, cause, False, advice_s)
         return self.error(Failed, cause, False)
 
-    def _hold(self, router: Router, line: Line) -> None:
-        self._held, self._line, self.router = router, line, router.address
+    def _assign(self, router: Router, connection: Connection) -> None:
+        self._router, self._connection, self.router = router, connection, router.address
         router.outstanding += 1
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """End the attempt in hand: cancelled at the router, unless it is over. Idempotent."""
         if self.exchange is not None:
             self.exchange.close(anyio.current_time())
             self.exchange = None
-        if self._held is not None:
-            self._held.outstanding -= 1
-            self._held = None
-        if self._line is not None:
-            self.shared.pool.released(self._line)
-            self._line = None
-        if self._token:
-            self._token = False
+        if self._router is not None:
+            self._router.outstanding -= 1
+            self._router = None
+        if self._connection is not None:
+            self.shared.pool.release(self._connection)
+            self._connection = None
+        if self._unspent_token:
+            self._unspent_token = False
             self.shared.budget.refund()
             self.retries -= 1
 
@@ -290,18 +302,18 @@
     ) -> ClientError:
         return kind(
             cause,
-            may_have_run=may_have_run or self._may_have_run,
+            may_have_run=may_have_run or self._earlier_may_have_run,
             retry_after_s=advice_s,
             attempts=self.attempts,
-            retries=self.retries - self._token,
+            retries=self.retries - self._unspent_token,
             router=self.router,
         )
 
-    def error_of(self, outcome: Outcome) -> ClientError:
-        if outcome.kind is Kind.REFUSED:
+    def error_for(self, outcome: Outcome) -> ClientError:
+        if outcome.kind is OutcomeKind.REFUSED:
             self.shared.stats.refusals_surfaced += 1
-            return self.error(Refused, outcome.cause, False, outcome.advice_s)
-        if outcome.kind is Kind.EXPIRED:
+            return self.error(Refused, outcome.cause, False, outcome.retry_after_s)
+        if outcome.kind is OutcomeKind.EXPIRED:
             return self.error(DeadlineExceeded, outcome.cause, True)
         if outcome.begun:
             return Broken(outcome.cause, [], attempts=self.attempts, retries=self.retries, router=self.router)
--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -16,10 +16,10 @@
 import anyio.abc
 
 from .call import Call, Shared, deadline_after
-from .policy.deadline import Way
+from .policy.deadline import DurationEstimate
 from .policy.picker import Endpoint, Picker
 from .policy.refusal import Pauses
-from .policy.retry import Budget, RetryRules
+from .policy.retry import RetryBudget, RetryRules
 from .pool import Pool
 from .sockets import ConnectionLost, Dial, dial
 from .stats import Stats
@@ -32,7 +32,7 @@
     DeadlineExceeded,
     Refused,
     Request,
-    endpoint,
+    parse_endpoint,
     rest_of,
     text_of,
 )
@@ -62,9 +62,9 @@
     def __init__(self, client: Client, call: Call, request: Request, resume: bool) -> None:
         self._client, self._call, self._request, self._resume = client, call, request, resume
         self._started_at = anyio.current_time()
-        self._first: bytes | None = None
+        self._first_event: bytes | None = None
         self._received: list[bytes] = []
-        self._over = False
+        self._is_complete = False
         self._ended_at: float | None = None
         self._scope: anyio.CancelScope | None = None
         self.resumed = False
@@ -85,7 +85,7 @@
     @property
     def whole(self) -> bool:
         """Whether the last event has been handed over and the answer ended as it should."""
-        return self._over
+        return self._is_complete
 
     def __aiter__(self) -> Self:
         return self
@@ -100,79 +100,79 @@
         with anyio.CancelScope() as scope:
             self._client._scopes.add(scope)
             try:
-                self._first = await self._call.begin(self._request.body)
+                self._first_event = await self._call.begin(self._request.body)
             finally:
                 self._client._scopes.discard(scope)
-        self._client._check_open(scope)
+        self._client._raise_if_closed(scope)
         self.first_event_s = anyio.current_time() - self._started_at
         self._client._stats.record(self._client._stats.first_event_us, self.first_event_s)
-        if self._first is None:
-            self._end()
+        if self._first_event is None:
+            self._finish()
 
     async def next_event(self) -> bytes | None:
         """The next event; None at the end of a whole answer."""
-        if self._first is not None:
-            event, self._first = self._first, None
-            return self._take(event)
-        if self._over:
+        if self._first_event is not None:
+            event, self._first_event = self._first_event, None
+            return self._deliver(event)
+        if self._is_complete:
             return None
         if self._call.exchange is None:
-            raise self._broken("the answer was left")
-        if (ready := self._call.exchange.ready()) is not None:
-            return self._take(ready)
+            raise self._broken_error("the answer was left")
+        if (ready := self._call.exchange.buffered_event()) is not None:
+            return self._deliver(ready)
         with anyio.CancelScope() as scope:
             self._client._scopes.add(scope)
             try:
-                return await self._next()
+                return await self._read_event()
             finally:
                 self._client._scopes.discard(scope)
-        self._client._check_open(scope)
+        self._client._raise_if_closed(scope)
         raise AssertionError("unreachable")
 
-    async def _next(self) -> bytes | None:
+    async def _read_event(self) -> bytes | None:
         exchange = self._call.exchange
         assert exchange is not None
         try:
             with anyio.move_on_after(self._client.settings.silence_s) as silence:
-                event = await exchange.next()
+                event = await exchange.next_event()
             if silence.cancelled_caught:
-                self._client._silent(self._call)
+                self._client._count_silent_router(self._call)
                 raise ConnectionLost(f"nothing came for {self._client.settings.silence_s:g} s")
         except ConnectionLost as lost:
-            self._call.let_go()  # the first is closed before anything asks for the rest
-            event = await self._ask_for_rest(lost)
+            self._call.release()  # the first is closed before anything asks for the rest
+            event = await self._resume_answer(lost)
         if event is None:
-            self._end()
+            self._finish()
             return None
-        return self._take(event)
+        return self._deliver(event)
 
-    async def _ask_for_rest(self, lost: ConnectionLost) -> bytes | None:
+    async def _resume_answer(self, lost: ConnectionLost) -> bytes | None:
         call = self._call
-        if not self._resume or self.resumed or not call.deadline.allows(anyio.current_time()):
-            raise self._broken(lost.cause)
+        if not self._resume or self.resumed or not call.deadline.can_send_at(anyio.current_time()):
+            raise self._broken_error(lost.cause)
         self.resumed = True
         make = self._request.rest or rest_of
-        again = Call(call.shared, self._request, call.deadline)
-        again.attempts, again.retries = call.attempts, call.shared.rules.max_retries
-        spent = call.retries
-        self._call = again
+        resumed_call = Call(call.shared, self._request, call.deadline)
+        resumed_call.attempts, resumed_call.retries = call.attempts, call.shared.rules.max_retries
+        retries_before = call.retries
+        self._call = resumed_call
         try:
-            return await again.begin(make(self._request.body, list(self._received)), resumed=True)
+            return await resumed_call.begin(make(self._request.body, list(self._received)), resumed=True)
         except ClientError as error:
-            raise self._broken(f"{lost.cause}; the rest was not had: {error.cause}") from error
+            raise self._broken_error(f"{lost.cause}; the rest was not had: {error.cause}") from error
         finally:
-            again.retries = spent
+            resumed_call.retries = retries_before
 
-    def _take(self, event: bytes) -> bytes:
+    def _deliver(self, event: bytes) -> bytes:
         self._received.append(event)
         return event
 
-    def _end(self) -> None:
-        self._over = True
+    def _finish(self) -> None:
+        self._is_complete = True
         self._ended_at = anyio.current_time()
-        self._call.let_go()
+        self._call.release()
 
-    def _broken(self, cause: str) -> Broken:
+    def _broken_error(self, cause: str) -> Broken:
         call = self._call
         return Broken(
             cause,
@@ -209,7 +209,7 @@
         if protocol == "kserve" and self.settings.resume:
             raise ValueError("KServe v2 has no way to ask for the rest of an answer: resume needs http")
         self.protocol = protocol
-        endpoints = [endpoint(r) for r in routers]
+        endpoints = [parse_endpoint(r) for r in routers]
         if not endpoints:
             raise ValueError("no router is named")
         s = self.settings
@@ -222,8 +222,8 @@
             picker,
             Pool(s, protocol, picker, self._stats, self._rng, dial),
             Pauses(s.longest_pause_s),
-            Budget(s.retry_share, s.retry_reserve, s.retry_burst),
-            Way(longest_s=math.inf),
+            RetryBudget(s.retry_share, s.retry_reserve, s.retry_burst),
+            DurationEstimate(max_s=math.inf),
             RetryRules(s.max_retries, frozenset(s.safe_classes), s.retry_pause_s),
             self._stats,
             self._rng,
@@ -241,7 +241,7 @@
         self._group = anyio.create_task_group()
         await self._group.__aenter__()
         self._shared.pool.group = self._group
-        self._group.start_soon(self._shared.pool.watch)
+        self._group.start_soon(self._shared.pool.maintain)
         return self
 
     async def __aexit__(
@@ -279,7 +279,7 @@
 
         Raises Refused, Failed, DeadlineExceeded before the block; in it, iterating raises Broken.
         """
-        self._check()
+        self._check_usable()
         resume = self.settings.resume if resume is None else resume
         if resume and self.protocol != "http":
             raise ValueError("KServe v2 has no way to ask for the rest of an answer: resume needs http")
@@ -292,11 +292,11 @@
             await answer._begin()
             yield answer
         except ClientError as error:
-            self._count(error)
+            self._count_error(error)
             raise
         finally:
             stats.open_calls -= 1
-            answer._call.let_go()
+            answer._call.release()
             if answer.whole:
                 stats.answered += 1
                 assert answer._ended_at is not None
@@ -310,14 +310,14 @@
 
     def update_routers(self, routers: Iterable[str | Endpoint]) -> None:
         """Take a new list of routers: calls in hand go on; what is known of those that stay is kept."""
-        endpoints = [endpoint(r) for r in routers]
+        endpoints = [parse_endpoint(r) for r in routers]
         if not endpoints:
             raise ValueError("no router is named")
-        left = self._shared.picker.update(endpoints)
-        for address in left:
+        removed = self._shared.picker.update(endpoints)
+        for address in removed:
             self._shared.pauses.forget(address)
-        self._shared.pool.left(left)
-        self._shared.pool.notify()
+        self._shared.pool.remove_routers(removed)
+        self._shared.pool.notify_change()
 
     def stats(self) -> Stats:
         """The counters and histograms, live."""
@@ -329,22 +329,22 @@
         """The addresses of this client's subset."""
         return list(self._shared.picker.routers)
 
-    def _check(self) -> None:
+    def _check_usable(self) -> None:
         if os.getpid() != self._pid:
             raise ClientClosed(f"this client belongs to process {self._pid}: make one after the fork")
         if self._closed or self._group is None:
             raise ClientClosed("the client is closed" if self._closed else "the client is not entered")
 
-    def _check_open(self, scope: anyio.CancelScope) -> None:
+    def _raise_if_closed(self, scope: anyio.CancelScope) -> None:
         if scope.cancelled_caught or self._closed:
             raise ClientClosed("the client was closed while the call was open", may_have_run=True)
 
-    def _silent(self, call: Call) -> None:
+    def _count_silent_router(self, call: Call) -> None:
         router = self._shared.picker.routers.get(call.router)
         if router is not None:
-            self._shared.picker.failed(router, anyio.current_time())
+            self._shared.picker.record_failure(router, anyio.current_time())
 
-    def _count(self, error: ClientError) -> None:
+    def _count_error(self, error: ClientError) -> None:
         stats = self._stats
         if isinstance(error, Refused):
             stats.refused += 1
--- a/sorreldock/client/command.py
+++ b/sorreldock/client/command.py
@@ -17,7 +17,13 @@
 from .client import Answer, Client
 from .types import Broken, ClientError, ClientSettings, DeadlineExceeded, Refused, Request, text_of
 
-EXITS = {"answered": 0, "refused": 3, "failed": 4, "broken": 5, "deadline": 6}  # 2 is a wrong command line
+EXIT_STATUSES = {
+    "answered": 0,
+    "refused": 3,
+    "failed": 4,
+    "broken": 5,
+    "deadline": 6,
+}  # 2 is a wrong command line
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +46,7 @@
     return json.dumps(chat).encode()
 
 
-def text_in(event: bytes, protocol: str) -> str:
+def event_text(event: bytes, protocol: str) -> str:
     """The text that an event adds, on either protocol."""
     if protocol == "http":
         return text_of(event)
@@ -49,7 +55,7 @@
     return raw[4:].decode(errors="replace")
 
 
-def outcome_of(error: ClientError) -> str:
+def outcome_name(error: ClientError) -> str:
     if isinstance(error, Refused):
         return "refused"
     if isinstance(error, DeadlineExceeded):
@@ -81,7 +87,7 @@
 
     def event(self, event: bytes, answer: Answer) -> None:
         self.events += 1
-        text = text_in(event, self.ask.protocol)
+        text = event_text(event, self.ask.protocol)
         if self.ask.as_json:
             data = event.decode(errors="replace") if self.ask.protocol == "http" else event.hex()
             self.record(event=self.events, attempts=answer.attempts, text=text, data=data)
@@ -118,9 +124,9 @@
             async for event in answer:
                 screen.event(event, answer)
     except ClientError as error:
-        outcome = outcome_of(error)
+        outcome = outcome_name(error)
         screen.end(outcome, error.attempts, error.retries, error.router, error)
-        return EXITS[outcome]
+        return EXIT_STATUSES[outcome]
     screen.end("answered", answer.attempts, answer.retries, answer.router, None)
     return 0
 
--- a/sorreldock/client/http.py
+++ b/sorreldock/client/http.py
@@ -10,57 +10,57 @@
 import anyio
 import h11
 
-from .policy.outcome import Kind, Outcome
-from .policy.refusal import retry_after
+from .policy.outcome import Outcome, OutcomeKind
+from .policy.refusal import parse_retry_after
 from .sockets import ConnectionLost, Socket
 from .types import Request
-from .wire import Exchange, Line, Mark
+from .wire import AttemptMark, Connection, Exchange
 
-TARGET = b"/v1/chat/completions"
-REFUSALS = (429, 503)
-BLANK = re.compile(rb"\r?\n\r?\n")
-LARGEST_REST = 64 * 1024  # of the body of an answer that is none
-REST_S = 0.5
+REQUEST_TARGET = b"/v1/chat/completions"
+REFUSAL_STATUSES = (429, 503)
+BLANK_LINE = re.compile(rb"\r?\n\r?\n")
+MAX_DISCARDED_BYTES = 64 * 1024  # of the body of an answer that is none
+DISCARD_TIMEOUT_S = 0.5
 
 
 def outcome_of_status(status: int, advice: str | None, wall_s: float) -> Outcome:
     """What an answer other than 200 means (the platform's table)."""
-    if status in REFUSALS:
-        return Outcome(Kind.REFUSED, f"refused with HTTP {status}", retry_after(advice, wall_s))
+    if status in REFUSAL_STATUSES:
+        return Outcome(OutcomeKind.REFUSED, f"refused with HTTP {status}", parse_retry_after(advice, wall_s))
     if status == 504:
-        return Outcome(Kind.EXPIRED, "the router gave up: HTTP 504")
+        return Outcome(OutcomeKind.EXPIRED, "the router gave up: HTTP 504")
     if status == 408:  # the request did not reach the router whole
-        return Outcome(Kind.NEVER_RAN, "the request came too slowly: HTTP 408")
+        return Outcome(OutcomeKind.NEVER_RAN, "the request came too slowly: HTTP 408")
     if 400 <= status < 500:
-        return Outcome(Kind.AT_FAULT, f"HTTP {status}")
-    return Outcome(Kind.MAY_HAVE_RUN, f"HTTP {status}")
+        return Outcome(OutcomeKind.INVALID_REQUEST, f"HTTP {status}")
+    return Outcome(OutcomeKind.MAY_HAVE_RUN, f"HTTP {status}")
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts whole events out of a stream (WHATWG's event streams end each with a blank line)."""
 
-    def __init__(self, largest: int) -> None:
-        self._largest = largest
-        self._held = b""
+    def __init__(self, max_event_bytes: int) -> None:
+        self._max_event_bytes = max_event_bytes
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """The events that are whole now, unchanged. ConnectionLost for one that never ends."""
-        held = self._held + data if self._held else data
+        buffer = self._buffer + data if self._buffer else data
         events, start = [], 0
-        for blank in BLANK.finditer(held):
-            events.append(held[start : blank.end()])
+        for blank in BLANK_LINE.finditer(buffer):
+            events.append(buffer[start : blank.end()])
             start = blank.end()
-        self._held = held[start:]
-        if len(self._held) > self._largest:
+        self._buffer = buffer[start:]
+        if len(self._buffer) > self._max_event_bytes:
             raise ConnectionLost("an event without an end")
         return events
 
-    def rest(self) -> bytes:
-        rest, self._held = self._held, b""
+    def take_rest(self) -> bytes:
+        rest, self._buffer = self._buffer, b""
         return rest
 
 
-class HttpLine(Line):
+class HttpConnection(Connection):
     """A connection to a router that speaks the platform's HTTP/1.1."""
 
     def __init__(self, router: str, socket: Socket, now: float, largest_event: int) -> None:
@@ -68,28 +68,28 @@
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=64 * 1024)
         self.host = router.encode()
         self.largest_event = largest_event
-        self.taken = False
-        self._fault: h11.RemoteProtocolError | None = None
+        self.is_in_use = False
+        self._protocol_error: h11.RemoteProtocolError | None = None
 
     @property
-    def room(self) -> int:
-        return 0 if self.taken or self.going or self.socket.closed else 1
+    def free_slots(self) -> int:
+        return 0 if self.is_in_use or self.closing or self.socket.closed else 1
 
     @property
     def busy(self) -> bool:
-        return self.taken
+        return self.is_in_use
 
-    def start(self, request: Request, body: bytes, mark: Mark) -> HttpExchange:
-        self.taken = True
+    def start(self, request: Request, body: bytes, mark: AttemptMark) -> HttpExchange:
+        self.is_in_use = True
         return HttpExchange(self, request, body, mark)
 
     def close(self) -> None:
         self.socket.close()
 
-    async def event(self) -> h11.Event | type[h11.PAUSED]:
+    async def read_event(self) -> h11.Event | type[h11.PAUSED]:
         while True:
-            if self._fault is not None:
-                raise ConnectionLost(f"not an answer: {self._fault}")
+            if self._protocol_error is not None:
+                raise ConnectionLost(f"not an answer: {self._protocol_error}")
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
@@ -101,16 +101,16 @@
                 raise ConnectionLost("closed by the router")
             self.parser.receive_data(data)
 
-    def read_already(self) -> h11.Event | None:
+    def buffered_event(self) -> h11.Event | None:
         """The next part of the answer's body, if it needs no read. What is wrong there the next wait tells,
         after the events before it.
         """
-        if self.parser.their_state is not h11.SEND_BODY or self._fault is not None:
+        if self.parser.their_state is not h11.SEND_BODY or self._protocol_error is not None:
             return None
         try:
             event = self.parser.next_event()
         except h11.RemoteProtocolError as error:
-            self._fault = error
+            self._protocol_error = error
             return None
         return event if isinstance(event, h11.Data | h11.EndOfMessage) else None
 
@@ -118,10 +118,10 @@
 class HttpExchange(Exchange):
     """One request and its answer on an HTTP/1.1 connection."""
 
-    def __init__(self, line: HttpLine, request: Request, body: bytes, mark: Mark) -> None:
-        self.line = line
+    def __init__(self, connection: HttpConnection, request: Request, body: bytes, mark: AttemptMark) -> None:
+        self.connection = connection
         self._request, self._body, self._mark = request, body, mark
-        self._cutter = EventCutter(line.largest_event)
+        self._splitter = EventSplitter(connection.largest_event)
         self._events: deque[bytes] = deque()
         self._closed = False
 
@@ -136,8 +136,8 @@
             if value:
                 props.append(f"{name}={value}")
         fields = {
-            "Host": self.line.router,
-            "X-Trace-Id": mark.name,
+            "Host": self.connection.router,
+            "X-Trace-Id": mark.trace_id,
             "X-Qos": request.rpc_class,
             "X-Customer": request.tenant,
             "X-Object": request.session,
@@ -150,69 +150,71 @@
         return [(k.encode(), v.encode()) for k, v in fields.items() if v]
 
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
-        parser = self.line.parser
+        parser = self.connection.parser
         left = expires_in_s()
         if left is None:
             return False
-        data = parser.send(h11.Request(method=b"POST", target=TARGET, headers=self._head(left))) or b""
+        data = (
+            parser.send(h11.Request(method=b"POST", target=REQUEST_TARGET, headers=self._head(left))) or b""
+        )
         data += parser.send(h11.Data(data=self._body)) or b""
         data += parser.send(h11.EndOfMessage()) or b""
         try:
-            await self.line.socket.send(data)
+            await self.connection.socket.send(data)
         except ConnectionLost:
             # The router may have answered and closed before it had read all: its answer counts.
-            if not self.line.socket.is_readable():
+            if not self.connection.socket.is_readable():
                 raise
         return True
 
-    async def first(self) -> bytes | Outcome | None:
-        line = self.line
-        while isinstance(event := await line.event(), h11.InformationalResponse):
+    async def first_event(self) -> bytes | Outcome | None:
+        connection = self.connection
+        while isinstance(event := await connection.read_event(), h11.InformationalResponse):
             pass
         if not isinstance(event, h11.Response):
             raise ConnectionLost("closed by the router")
         headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in event.headers}
         self.begun = event.status_code == 200
         if "close" in headers.get("connection", "").lower():
-            line.going = True
+            connection.closing = True
         if not self.begun:
             outcome = outcome_of_status(event.status_code, headers.get("retry-after"), time.time())
-            await self._skip()
+            await self._discard_body()
             return outcome
-        return await self.next()
+        return await self.next_event()
 
-    async def _skip(self) -> None:
+    async def _discard_body(self) -> None:
         """Read what is left of a short answer, so that its line can be kept; not for long."""
         size = 0
-        with anyio.move_on_after(REST_S):
+        with anyio.move_on_after(DISCARD_TIMEOUT_S):
             try:
-                while isinstance(event := await self.line.event(), h11.Data):
+                while isinstance(event := await self.connection.read_event(), h11.Data):
                     size += len(event.data)
-                    if size > LARGEST_REST:
+                    if size > MAX_DISCARDED_BYTES:
                         return
-                self.whole = isinstance(event, h11.EndOfMessage)
+                self.is_complete = isinstance(event, h11.EndOfMessage)
             except ConnectionLost:
                 pass
 
-    def ready(self) -> bytes | None:
+    def buffered_event(self) -> bytes | None:
         return self._events.popleft() if self._events else None
 
-    async def next(self) -> bytes | None:
+    async def next_event(self) -> bytes | None:
         while not self._events:
-            if self.whole:
+            if self.is_complete:
                 return None
-            self._take(await self.line.event())
+            self._accept(await self.connection.read_event())
             # What came in the same read goes on without another wait.
-            while not self.whole and (event := self.line.read_already()) is not None:
-                self._take(event)
+            while not self.is_complete and (event := self.connection.buffered_event()) is not None:
+                self._accept(event)
         return self._events.popleft()
 
-    def _take(self, event: h11.Event | type[h11.PAUSED]) -> None:
+    def _accept(self, event: h11.Event | type[h11.PAUSED]) -> None:
         if isinstance(event, h11.Data):
-            self._events.extend(self._cutter.feed(bytes(event.data)))
+            self._events.extend(self._splitter.feed(bytes(event.data)))
         elif isinstance(event, h11.EndOfMessage):
-            self.whole = True
-            if rest := self._cutter.rest():
+            self.is_complete = True
+            if rest := self._splitter.take_rest():
                 self._events.append(rest)
         else:
             raise ConnectionLost("closed without the last chunk")
@@ -221,12 +223,12 @@
         if self._closed:
             return
         self._closed = True
-        line, parser = self.line, self.line.parser
-        over = self.whole and parser.our_state is h11.DONE and parser.their_state is h11.DONE
-        if not over or line.going or parser.trailing_data[0]:
-            line.close()
+        connection, parser = self.connection, self.connection.parser
+        is_reusable = self.is_complete and parser.our_state is h11.DONE and parser.their_state is h11.DONE
+        if not is_reusable or connection.closing or parser.trailing_data[0]:
+            connection.close()
         else:
             parser.start_next_cycle()
-            line.carried += 1
-            line.at_rest_since = now
-        line.taken = False
+            connection.calls_completed += 1
+            connection.idle_since = now
+        connection.is_in_use = False
--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -28,15 +28,17 @@
     frame,
     status_of,
 )
-from .policy.outcome import Kind, Outcome
-from .policy.refusal import pushback
+from .policy.outcome import Outcome, OutcomeKind
+from .policy.refusal import parse_pushback
 from .sockets import ConnectionLost, Socket
 from .types import Request
-from .wire import Exchange, Line, Mark
+from .wire import AttemptMark, Connection, Exchange
 
-MOST_STREAMS = 32  # calls on a connection: enough to need few, and few enough to lose
-WINDOW = 4 * 1024 * 1024  # of the connection: a slow reader of one answer must not stop the others
-AT_FAULT = {
+MAX_STREAMS_PER_CONNECTION = 32  # calls on a connection: enough to need few, and few enough to lose
+CONNECTION_WINDOW_BYTES = (
+    4 * 1024 * 1024
+)  # of the connection: a slow reader of one answer must not stop the others
+INVALID_REQUEST_CODES = {
     Code.INVALID_ARGUMENT,
     Code.NOT_FOUND,
     Code.ALREADY_EXISTS,
@@ -45,7 +47,7 @@
 }
 
 
-def message_for(request: Request, body: bytes, name: str) -> bytes:
+def encode_request(request: Request, body: bytes, name: str) -> bytes:
     """A ModelInferRequest with the body as its one BYTES element (length first, as KServe's page on binary
     tensors has it).
     """
@@ -58,19 +60,24 @@
 
 def outcome_of_status(code: int, message: str, trailers: dict[str, str]) -> Outcome:
     """What a status other than OK, before the first message, means (the router's table; gRFC A6)."""
-    said = f"grpc-status {code}: {message}" if message else f"grpc-status {code}"
-    advice, never = pushback(trailers.get("grpc-retry-pushback-ms"))
+    description = f"grpc-status {code}: {message}" if message else f"grpc-status {code}"
+    advice, retry_forbidden = parse_pushback(trailers.get("grpc-retry-pushback-ms"))
     if code in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED):
-        too_large = code == Code.RESOURCE_EXHAUSTED and advice is None and not never
-        return Outcome(Kind.AT_FAULT if too_large else Kind.REFUSED, said, advice, never)
+        too_large = code == Code.RESOURCE_EXHAUSTED and advice is None and not retry_forbidden
+        return Outcome(
+            OutcomeKind.INVALID_REQUEST if too_large else OutcomeKind.REFUSED,
+            description,
+            advice,
+            retry_forbidden,
+        )
     if code == Code.DEADLINE_EXCEEDED:
-        return Outcome(Kind.EXPIRED, said)
-    if code in AT_FAULT:
-        return Outcome(Kind.AT_FAULT, said)
-    return Outcome(Kind.MAY_HAVE_RUN, said, never_again=never)
+        return Outcome(OutcomeKind.EXPIRED, description)
+    if code in INVALID_REQUEST_CODES:
+        return Outcome(OutcomeKind.INVALID_REQUEST, description)
+    return Outcome(OutcomeKind.MAY_HAVE_RUN, description, retry_forbidden=retry_forbidden)
 
 
-class KserveLine(Line):
+class KserveConnection(Connection):
     """A connection and its HTTP/2 state. `run`, in the client's task group, reads and writes it."""
 
     def __init__(self, router: str, socket: Socket, now: float, largest_event: int) -> None:
@@ -86,32 +93,35 @@
             },
         )
         self.h2.initiate_connection()
-        self.h2.increment_flow_control_window(WINDOW)
+        self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
         self.largest_event = largest_event
         self.exchanges: dict[int, KserveExchange] = {}
-        self.taken = 0  # places, some of which may have no stream yet
-        self.heard_at = now
+        self.slots_in_use = 0  # places, some of which may have no stream yet
+        self.last_received_at = now
         self.pinged_at: float | None = None
-        self.on_going: Callable[[], None] = lambda: None
-        self._farewells = Farewells(preface=False)
+        self.on_closing: Callable[[], None] = lambda: None
+        self._goaways = Farewells(preface=False)
         self._pending = self.h2.data_to_send()
         self._wake = anyio.Event()
         self._lost: ConnectionLost | None = None
-        self._written = 0  # bytes, and how many were to be written in all
-        self._queued = len(self._pending)
+        self._written_bytes = 0  # bytes, and how many were to be written in all
+        self._queued_bytes = len(self._pending)
 
     @property
-    def room(self) -> int:
-        if self.going or self._lost or self.socket.closed:
+    def free_slots(self) -> int:
+        if self.closing or self._lost or self.socket.closed:
             return 0
-        return min(MOST_STREAMS, self.h2.remote_settings.max_concurrent_streams) - self.taken
+        return (
+            min(MAX_STREAMS_PER_CONNECTION, self.h2.remote_settings.max_concurrent_streams)
+            - self.slots_in_use
+        )
 
     @property
     def busy(self) -> bool:
-        return self.taken > 0
+        return self.slots_in_use > 0
 
-    def start(self, request: Request, body: bytes, mark: Mark) -> KserveExchange:
-        self.taken += 1
+    def start(self, request: Request, body: bytes, mark: AttemptMark) -> KserveExchange:
+        self.slots_in_use += 1
         return KserveExchange(self, request, body, mark)
 
     async def run(self) -> None:
@@ -128,38 +138,38 @@
                     lost = ConnectionLost(f"not HTTP/2: {error}")
                 group.cancel_scope.cancel()
         finally:
-            self._end(lost)
+            self._end_exchanges(lost)
 
-    def _end(self, lost: ConnectionLost) -> None:
+    def _end_exchanges(self, lost: ConnectionLost) -> None:
         if self._lost is None:
             self._lost = lost
             for exchange in list(self.exchanges.values()):
-                exchange.lose(lost)
+                exchange.connection_lost(lost)
 
     async def _read(self) -> None:
         while True:
             data = await self.socket.receive()
             if not data:
                 raise ConnectionLost("closed by the router")
-            self.heard_at, self.pinged_at = anyio.current_time(), None
-            rest, farewells = self._farewells.strip(data)
+            self.last_received_at, self.pinged_at = anyio.current_time(), None
+            rest, goaways = self._goaways.strip(data)
             for event in self.h2.receive_data(rest):
-                self._take(event)
-            for farewell in farewells:
-                self._said_farewell(farewell)
+                self._handle_event(event)
+            for goaway in goaways:
+                self._handle_goaway(goaway)
             self.flush()
-            if self.going and not self.taken:
+            if self.closing and not self.slots_in_use:
                 raise ConnectionLost("the router has said goodbye")
 
-    def _said_farewell(self, farewell: Farewell) -> None:
-        if not self.going:
-            self.going = True
-            self.on_going()
-        for number, exchange in list(self.exchanges.items()):
-            if number > farewell.last_stream:  # RFC 9113 6.8: not taken, and never will be
-                exchange.end(Outcome(Kind.NEVER_RAN, "left out by a GOAWAY", stale=True))
+    def _handle_goaway(self, goaway: Farewell) -> None:
+        if not self.closing:
+            self.closing = True
+            self.on_closing()
+        for stream_id, exchange in list(self.exchanges.items()):
+            if stream_id > goaway.last_stream:  # RFC 9113 6.8: not taken, and never will be
+                exchange.end_with(Outcome(OutcomeKind.NEVER_RAN, "left out by a GOAWAY", stale=True))
 
-    def _take(self, event: h2.events.Event) -> None:
+    def _handle_event(self, event: h2.events.Event) -> None:
         exchange = self.exchanges.get(getattr(event, "stream_id", None) or 0)
         match event:
             case h2.events.DataReceived():
@@ -167,17 +177,19 @@
                 if exchange is None:
                     self.acknowledge(length, event.stream_id or 0)
                 else:
-                    exchange.feed(event.data or b"", length)
+                    exchange.receive_data(event.data or b"", length)
             case h2.events.ResponseReceived() | h2.events.TrailersReceived() if exchange is not None:
-                exchange.headers({str(k): str(v) for k, v in event.headers or []})
+                exchange.receive_headers({str(k): str(v) for k, v in event.headers or []})
             case h2.events.StreamEnded() if exchange is not None:
                 exchange.ended = True
                 exchange.notify()
             case h2.events.StreamReset() if exchange is not None:
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
-                    exchange.end(Outcome(Kind.NEVER_RAN, "REFUSED_STREAM", stale=True))
+                    exchange.end_with(Outcome(OutcomeKind.NEVER_RAN, "REFUSED_STREAM", stale=True))
                 elif not exchange.ended:
-                    exchange.lose(ConnectionLost(f"the stream was reset with error {event.error_code}"))
+                    exchange.connection_lost(
+                        ConnectionLost(f"the stream was reset with error {event.error_code}")
+                    )
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for waiting in self.exchanges.values():
                     waiting.notify()
@@ -192,12 +204,12 @@
         data = self.h2.data_to_send()
         if data:
             self._pending += data
-            self._queued += len(data)
+            self._queued_bytes += len(data)
             self._wake.set()
-        return self._queued
+        return self._queued_bytes
 
-    def written(self, mark: int) -> bool:
-        return self._written >= mark
+    def has_written(self, position: int) -> bool:
+        return self._written_bytes >= position
 
     async def _write(self) -> None:
         try:
@@ -207,42 +219,44 @@
                     await self._wake.wait()
                 data, self._pending = self._pending, b""
                 await self.socket.send(data)
-                self._written += len(data)
+                self._written_bytes += len(data)
         except ConnectionLost as lost:
-            self._end(lost)
+            self._end_exchanges(lost)
 
     def ping_if_quiet(self, now: float, after_s: float) -> bool:
         """Ask a quiet peer for a sign of life; False once it has owed one for as long again."""
         if self.pinged_at is not None:
             return now - self.pinged_at < after_s
-        if now - self.heard_at >= after_s:
+        if now - self.last_received_at >= after_s:
             self.pinged_at = now
             self.h2.ping(b"sorrel??")
             self.flush()
         return True
 
-    def fail(self, cause: str) -> None:
+    def fail_connection(self, cause: str) -> None:
         """End all that is on it: its machine has gone."""
-        self._end(ConnectionLost(cause))
+        self._end_exchanges(ConnectionLost(cause))
         self.close()
 
     def close(self) -> None:
-        self._end(ConnectionLost("closed here"))
+        self._end_exchanges(ConnectionLost("closed here"))
         self.socket.close()
 
 
 class KserveExchange(Exchange):
     """One call on a gRPC connection."""
 
-    def __init__(self, line: KserveLine, request: Request, body: bytes, mark: Mark) -> None:
-        self.line = line
+    def __init__(
+        self, connection: KserveConnection, request: Request, body: bytes, mark: AttemptMark
+    ) -> None:
+        self.connection = connection
         self._request, self._mark = request, mark
-        self._message = frame(message_for(request, body, mark.name))
-        self._unframer = Unframer(line.largest_event)
+        self._message = frame(encode_request(request, body, mark.trace_id))
+        self._unframer = Unframer(connection.largest_event)
         self._unacknowledged = 0
-        self._fields: dict[str, str] = {}
-        self._number = 0
-        self._sent_at_mark = 0
+        self._headers: dict[str, str] = {}
+        self._stream_id = 0
+        self._end_position = 0
         self._outcome: Outcome | None = None
         self._lost: ConnectionLost | None = None
         self._closed = False
@@ -255,34 +269,34 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def headers(self, fields: dict[str, str]) -> None:
-        self._fields.update(fields)
+    def receive_headers(self, fields: dict[str, str]) -> None:
+        self._headers.update(fields)
         self.notify()
 
-    def feed(self, data: bytes, length: int) -> None:
+    def receive_data(self, data: bytes, length: int) -> None:
         self._unacknowledged += length
         self._unframer.feed(data)
         self.notify()
 
-    def lose(self, lost: ConnectionLost) -> None:
+    def connection_lost(self, lost: ConnectionLost) -> None:
         if not self.ended and self._outcome is None:
-            unwritten = self._number == 0 or not self.line.written(self._sent_at_mark)
+            unwritten = self._stream_id == 0 or not self.connection.has_written(self._end_position)
             self._lost = ConnectionLost(lost.cause, unread=lost.unread or unwritten)
             self.notify()
 
-    def end(self, outcome: Outcome) -> None:
+    def end_with(self, outcome: Outcome) -> None:
         self._outcome = outcome
         self.notify()
 
     # The call's side.
 
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
-        line, request, mark = self.line, self._request, self._mark
+        connection, request, mark = self.connection, self._request, self._mark
         left = expires_in_s()
         if left is None:
             return False
-        if line._lost is not None:
-            raise line._lost
+        if connection._lost is not None:
+            raise connection._lost
         metadata = {
             "sorreldock-class": request.rpc_class,
             "sorreldock-tenant": request.tenant,
@@ -291,54 +305,57 @@
             "sorreldock-prompt-tokens": str(request.prompt_tokens or ""),
             "sorreldock-prefix-tokens": str(request.prefix_tokens or ""),
             "sorreldock-max-output-tokens": str(request.max_output_tokens or ""),
-            "sorreldock-request-id": mark.name,
+            "sorreldock-request-id": mark.trace_id,
             "grpc-previous-rpc-attempts": str(mark.retry or ""),
         }
         try:
-            self._number = line.h2.get_next_available_stream_id()
-            line.h2.send_headers(
-                self._number,
+            self._stream_id = connection.h2.get_next_available_stream_id()
+            connection.h2.send_headers(
+                self._stream_id,
                 [
                     (":method", "POST"),
                     (":scheme", "http"),
                     (":path", f"/{SERVICE}/ModelStreamInfer"),
-                    (":authority", line.router),
+                    (":authority", connection.router),
                     ("te", "trailers"),
                     ("content-type", "application/grpc"),
                     ("grpc-timeout", format_timeout(left)),
                     *((k, v) for k, v in metadata.items() if v),
                 ],
             )
-            line.exchanges[self._number] = self
-            view = self._message
-            while view and self._outcome is None and not self.ended:
-                self._check()
-                room = min(line.h2.local_flow_control_window(self._number), line.h2.max_outbound_frame_size)
-                if room <= 0:
+            connection.exchanges[self._stream_id] = self
+            unsent = self._message
+            while unsent and self._outcome is None and not self.ended:
+                self._raise_if_lost()
+                window = min(
+                    connection.h2.local_flow_control_window(self._stream_id),
+                    connection.h2.max_outbound_frame_size,
+                )
+                if window <= 0:
                     changed = self._changed
-                    line.flush()
+                    connection.flush()
                     await changed.wait()
                     continue
-                line.h2.send_data(self._number, view[:room], end_stream=len(view) <= room)
-                view = view[room:]
+                connection.h2.send_data(self._stream_id, unsent[:window], end_stream=len(unsent) <= window)
+                unsent = unsent[window:]
         except h2.exceptions.StreamClosedError:
-            self._check()  # the answer came before the request was whole
+            self._raise_if_lost()  # the answer came before the request was whole
         except h2.exceptions.ProtocolError as error:
             raise ConnectionLost(str(error), unread=True) from None
-        self._sent_at_mark = line.flush()
+        self._end_position = connection.flush()
         return True
 
-    def _check(self) -> None:
+    def _raise_if_lost(self) -> None:
         if self._lost is not None:
             raise self._lost
 
-    async def first(self) -> bytes | Outcome | None:
-        message = await self.next(opening=True)
+    async def first_event(self) -> bytes | Outcome | None:
+        message = await self.next_event(opening=True)
         if message is not None or self._outcome is None:
             return message
         return self._outcome
 
-    async def next(self, opening: bool = False) -> bytes | None:
+    async def next_event(self, opening: bool = False) -> bytes | None:
         while True:
             changed = self._changed
             try:
@@ -346,54 +363,54 @@
             except GrpcError as error:
                 raise ConnectionLost(error.message) from None
             if message is not None or self._unframer.partial:  # a long message needs room to go on
-                self.line.acknowledge(self._unacknowledged, self._number)
+                self.connection.acknowledge(self._unacknowledged, self._stream_id)
                 self._unacknowledged = 0
-                self.line.flush()
+                self.connection.flush()
             if message is not None:
                 self.begun = True
-                return self._event(message)
+                return self._decode_event(message)
             if self._outcome is not None:
                 if not opening:
                     raise ConnectionLost(self._outcome.cause)
                 return None
-            self._check()
+            self._raise_if_lost()
             if self.ended:
-                code, text = status_of(self._fields)
+                code, text = status_of(self._headers)
                 if code == Code.OK and not self._unframer.partial:
-                    self.whole = True
+                    self.is_complete = True
                     return None
                 if not opening:
                     raise ConnectionLost(f"grpc-status {code}: {text}")
-                self._outcome = outcome_of_status(code, text, self._fields)
+                self._outcome = outcome_of_status(code, text, self._headers)
                 return None
             await changed.wait()
 
     @staticmethod
-    def _event(message: bytes) -> bytes:
+    def _decode_event(message: bytes) -> bytes:
         try:
-            said = pb.ModelStreamInferResponse.FromString(message)
+            response = pb.ModelStreamInferResponse.FromString(message)
         except DecodeError:
             raise ConnectionLost("a message that can't be read") from None
-        if said.error_message:
-            raise ConnectionLost(said.error_message[:200])
+        if response.error_message:
+            raise ConnectionLost(response.error_message[:200])
         return message
 
     def close(self, now: float) -> None:
         if self._closed:
             return
         self._closed = True
-        line = self.line
-        line.exchanges.pop(self._number, None)
-        line.taken -= 1
-        line.at_rest_since = now
-        if self.whole or self.ended:
-            line.carried += 1
-        elif self._number and line._lost is None:
+        connection = self.connection
+        connection.exchanges.pop(self._stream_id, None)
+        connection.slots_in_use -= 1
+        connection.idle_since = now
+        if self.is_complete or self.ended:
+            connection.calls_completed += 1
+        elif self._stream_id and connection._lost is None:
             with suppress(h2.exceptions.ProtocolError):
-                line.h2.reset_stream(self._number, h2.errors.ErrorCodes.CANCEL)
-        line.acknowledge(self._unacknowledged, self._number)
+                connection.h2.reset_stream(self._stream_id, h2.errors.ErrorCodes.CANCEL)
+        connection.acknowledge(self._unacknowledged, self._stream_id)
         self._unacknowledged = 0
-        if line._lost is None:
-            line.flush()
-        if line.going and not line.taken:
-            line.close()
+        if connection._lost is None:
+            connection.flush()
+        if connection.closing and not connection.slots_in_use:
+            connection.close()
--- a/sorreldock/client/policy/picker.py
+++ b/sorreldock/client/policy/picker.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from .deadline import Way
+from .deadline import DurationEstimate
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,25 +43,27 @@
     failures: int = 0  # in a row
     ejections: int = 0
     ejected_until: float = 0.0
-    allowance: int | None = None  # after an ejection: calls at once, doubled with each answer; None: all
-    going_until: float = 0.0
-    way: Way = field(default_factory=Way)
+    max_outstanding: int | None = (
+        None  # after an ejection: calls at once, doubled with each answer; None: all
+    )
+    stopping_until: float = 0.0
+    round_trip: DurationEstimate = field(default_factory=DurationEstimate)
 
     @property
     def address(self) -> str:
         return self.endpoint.address
 
 
-def weight(client: str, address: str) -> int:
+def rendezvous_weight(client: str, address: str) -> int:
     return int.from_bytes(hashlib.blake2b(f"{client}\0{address}".encode(), digest_size=8).digest(), "big")
 
 
-def subset(client: str, endpoints: Iterable[Endpoint], size: int, zone: str) -> list[Endpoint]:
+def choose_subset(client: str, endpoints: Iterable[Endpoint], size: int, zone: str) -> list[Endpoint]:
     """This client's routers, own zone first, each group by falling weight. At most half of the places (but at
     least one, where there are two or more) go to other zones when the own one could fill them all, so that a
     zone that goes dark does not take the whole subset with it.
     """
-    ranked = sorted(set(endpoints), key=lambda e: (-weight(client, e.address), e.address))
+    ranked = sorted(set(endpoints), key=lambda e: (-rendezvous_weight(client, e.address), e.address))
     own = [e for e in ranked if zone and e.zone == zone]
     others = [e for e in ranked if not (zone and e.zone == zone)]
     if size <= 0 or size >= len(ranked):
@@ -81,7 +83,7 @@
 
     def update(self, endpoints: Iterable[Endpoint]) -> list[str]:
         """Take a new list. What is known of routers that stay is kept; returns the addresses that left."""
-        chosen = {e.address: e for e in subset(self.client, endpoints, self.rules.subset, self.zone)}
+        chosen = {e.address: e for e in choose_subset(self.client, endpoints, self.rules.subset, self.zone)}
         left = [address for address in self.routers if address not in chosen]
         for address in left:
             del self.routers[address]
@@ -92,17 +94,17 @@
                 self.routers[address] = Router(endpoint)
         return left
 
-    def admits(self, router: Router, now: float) -> bool:
+    def is_admitted(self, router: Router, now: float) -> bool:
         if router.ejected_until > now:
             return False
-        return router.allowance is None or router.outstanding < router.allowance
+        return router.max_outstanding is None or router.outstanding < router.max_outstanding
 
     def pick(
         self,
         now: float,
         draws: tuple[float, float],
-        paused: Callable[[Router], bool],
-        connected: Callable[[Router], bool],
+        is_paused: Callable[[Router], bool],
+        is_connected: Callable[[Router], bool],
         avoid: Iterable[str] = (),
     ) -> Router | None:
         """The router for an attempt; None when each that is left has asked for a pause.
@@ -113,15 +115,15 @@
         no dial.
         """
         avoided = set(avoid)
-        able = [r for r in self.routers.values() if not paused(r)]
+        able = [r for r in self.routers.values() if not is_paused(r)]
         if not able:
             return None
 
         def tier(r: Router) -> tuple[bool, bool, bool, bool]:
             return (
-                not self.admits(r, now),
+                not self.is_admitted(r, now),
                 r.address in avoided,
-                r.going_until > now,
+                r.stopping_until > now,
                 bool(self.zone) and r.endpoint.zone != self.zone,
             )
 
@@ -134,28 +136,28 @@
         first = int(draws[0] * len(tied))
         second = int(draws[1] * (len(tied) - 1))
         pair = (tied[first], tied[second + (second >= first)])
-        return min(pair, key=lambda r: (r.outstanding, not connected(r)))
+        return min(pair, key=lambda r: (r.outstanding, not is_connected(r)))
 
     # What attempts came to.
 
-    def answered(self, router: Router) -> None:
+    def record_answer(self, router: Router) -> None:
         """It spoke, if only to refuse: it is alive."""
         router.failures = 0
-        if router.allowance is not None:
-            router.allowance *= 2
-            if router.allowance > 64:
-                router.allowance, router.ejections = None, 0
+        if router.max_outstanding is not None:
+            router.max_outstanding *= 2
+            if router.max_outstanding > 64:
+                router.max_outstanding, router.ejections = None, 0
 
-    def failed(self, router: Router, now: float) -> None:
+    def record_failure(self, router: Router, now: float) -> None:
         router.failures += 1
-        if router.failures < self.rules.eject_after and router.allowance is None:
+        if router.failures < self.rules.eject_after and router.max_outstanding is None:
             return
         pause = min(self.rules.eject_s * 2 ** min(router.ejections, 16), self.rules.longest_eject_s)
         router.ejected_until = now + pause
         router.ejections += 1
         router.failures = 0
-        router.allowance = 1
+        router.max_outstanding = 1
 
-    def going(self, router: Router, now: float) -> None:
+    def record_stopping(self, router: Router, now: float) -> None:
         """It said that it stops (`Connection: close`, GOAWAY)."""
-        router.going_until = now + self.rules.going_s
+        router.stopping_until = now + self.rules.going_s
--- a/sorreldock/client/policy/reconnect.py
+++ b/sorreldock/client/policy/reconnect.py
@@ -12,7 +12,9 @@
 
 from dataclasses import dataclass
 
-IN_TIME = 0.8  # of a request's time, which a turn may take: calls that share the connection need the rest
+TURN_DEADLINE_SHARE = (
+    0.8  # of a request's time, which a turn may take: calls that share the connection need the rest
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,18 +35,18 @@
     forget_s: float = 60.0  # without a failure or loss: the jitter begins anew
 
 
-class Rate:
+class TokenBucket:
     """A token bucket on the caller's clock; a clock that steps back adds nothing and takes nothing."""
 
-    def __init__(self, per_s: float, burst: float) -> None:
-        self._per_s, self._burst = per_s, burst
+    def __init__(self, rate_per_s: float, burst: float) -> None:
+        self._rate_per_s, self._burst = rate_per_s, burst
         self._tokens = float(burst)
-        self._at: float | None = None
+        self._filled_at: float | None = None
 
     def _fill(self, now: float) -> None:
-        if self._at is not None:
-            self._tokens = min(self._burst, self._tokens + max(now - self._at, 0.0) * self._per_s)
-        self._at = now
+        if self._filled_at is not None:
+            self._tokens = min(self._burst, self._tokens + max(now - self._filled_at, 0.0) * self._rate_per_s)
+        self._filled_at = now
 
     def take(self, now: float) -> bool:
         self._fill(now)
@@ -53,85 +55,88 @@
         self._tokens -= 1.0
         return True
 
-    def drain(self, now: float) -> None:
-        self._tokens, self._at = 0.0, now
+    def empty(self, now: float) -> None:
+        self._tokens, self._filled_at = 0.0, now
 
     def wait_s(self, now: float) -> float:
         """Seconds until a token is there."""
         self._fill(now)
-        return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._per_s
+        return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._rate_per_s
 
 
-class Reconnect:
+class ReconnectGate:
     """The gate that every dial of a client passes."""
 
     def __init__(self, rules: ReconnectRules) -> None:
         self.rules = rules
         self.turn_at: float | None = None  # set while a loss has not been followed by a dial that came up
-        self.turn_of: float = 0.0  # when it was drawn
-        self.failures = 0
-        self.owed = 0  # idle connections that were lost, to be opened again one by one
-        self._previous = rules.first_window_s / 3
-        self._window = rules.first_window_s  # that the present turn was drawn from
-        self._heard: float | None = None
-        self._calm = Rate(rules.calm_rate_per_s, rules.calm_burst)
-        self._rate = Rate(rules.rate_per_s, rules.burst)
-        self._failed_rate = Rate(rules.failed_rate_per_s, rules.failed_burst)
-        self._failing = False
+        self.turn_drawn_at: float = 0.0  # when it was drawn
+        self.failed_dials = 0
+        self.reopens_due = 0  # idle connections that were lost, to be opened again one by one
+        self._previous_delay_s = rules.first_window_s / 3
+        self._window_s = rules.first_window_s  # that the present turn was drawn from
+        self._last_drawn_at: float | None = None
+        self._steady_bucket = TokenBucket(rules.calm_rate_per_s, rules.calm_burst)
+        self._settling_bucket = TokenBucket(rules.rate_per_s, rules.burst)
+        self._failing_bucket = TokenBucket(rules.failed_rate_per_s, rules.failed_burst)
+        self._is_failing = False
 
     @property
-    def gated(self) -> bool:
+    def is_turn_pending(self) -> bool:
         return self.turn_at is not None
 
     def _draw(self, now: float, draw: float) -> float:
         rules = self.rules
-        if self._heard is not None and now - self._heard > rules.forget_s:
-            self._previous, self.failures = rules.first_window_s / 3, 0
-        self._heard = now
-        widest = rules.first_window_s * rules.widen ** min(self.failures, 40)
-        self._window = min(rules.cap_s, widest, 3 * self._previous)
-        delay = rules.base_s + draw * max(self._window - rules.base_s, 0.0)
+        if self._last_drawn_at is not None and now - self._last_drawn_at > rules.forget_s:
+            self._previous_delay_s, self.failed_dials = rules.first_window_s / 3, 0
+        self._last_drawn_at = now
+        widest_s = rules.first_window_s * rules.widen ** min(self.failed_dials, 40)
+        self._window_s = min(rules.cap_s, widest_s, 3 * self._previous_delay_s)
+        delay_s = rules.base_s + draw * max(self._window_s - rules.base_s, 0.0)
         # The window never narrows below the first: a small draw must not make the next ones small as well.
-        self._previous = max(delay, rules.first_window_s / 3)
-        return delay
+        self._previous_delay_s = max(delay_s, rules.first_window_s / 3)
+        return delay_s
 
-    def lost(self, now: float, draw: float, idle: bool) -> float | None:
+    def connection_lost(self, now: float, draw: float, idle: bool) -> float | None:
         """The router has ended a connection, or has said that it will. Returns the delay of the turn in
         seconds; None when a turn is drawn already, since one deploy is one reason to wait.
         """
         if idle:
-            self.owed = min(self.owed + 1, 2)
+            self.reopens_due = min(self.reopens_due + 1, 2)
         if self.turn_at is not None:
             return None
-        delay = self._draw(now, draw)
-        self.turn_at, self.turn_of = now + delay, now
-        return delay
+        delay_s = self._draw(now, draw)
+        self.turn_at, self.turn_drawn_at = now + delay_s, now
+        return delay_s
 
-    def failed(self, now: float, draw: float) -> float | None:
+    def dial_failed(self, now: float, draw: float) -> float | None:
         """A dial has failed. After a loss the next turn is drawn, wider; returns its delay."""
-        self.failures += 1
-        self._failing = True
+        self.failed_dials += 1
+        self._is_failing = True
         if self.turn_at is None:
             return None
-        self._previous = max(
-            self._previous, self.rules.first_window_s * self.rules.widen ** min(self.failures, 40) / 3
+        self._previous_delay_s = max(
+            self._previous_delay_s,
+            self.rules.first_window_s * self.rules.widen ** min(self.failed_dials, 40) / 3,
         )
-        delay = self._draw(now, draw)
-        self.turn_at, self.turn_of = now + delay, now
-        return delay
+        delay_s = self._draw(now, draw)
+        self.turn_at, self.turn_drawn_at = now + delay_s, now
+        return delay_s
 
-    def opened(self, now: float) -> None:
+    def dial_succeeded(self, now: float) -> None:
         """A dial has come up: the gate opens, and what else is to be dialled keeps to the rate, from now on:
         calls that waited for the turn together share its connection rather than bring one each.
         """
         if self.turn_at is not None:
-            self._rate.drain(now)
+            self._settling_bucket.empty(now)
         self.turn_at = None
-        self.failures = 0
-        self._failing = False
-        self._previous = self.rules.first_window_s / 3
+        self.failed_dials = 0
+        self._is_failing = False
+        self._previous_delay_s = self.rules.first_window_s / 3
 
-    def may_dial_at(self, now: float, latest: float, dialling: int, alive: bool) -> float | None:
+    def next_dial_time(
+        self, now: float, latest: float, dialling: int, has_live_connection: bool
+    ) -> float | None:
         """The moment at which a request in hand may dial a router; None if none is left before `latest`,
         its last useful one. `now` means at once, and takes a token.
 
@@ -143,40 +148,40 @@
         """
         if now > latest:
             return None
-        if self.turn_at is not None and not alive:
+        if self.turn_at is not None and not has_live_connection:
             if dialling:
                 return min(now + self.rules.base_s, latest)
             at = self.turn_at
-            whole = max(latest - self.turn_of, 0.0)
-            if at > self.turn_of + IN_TIME * whole:
-                share = (at - self.turn_of) / max(self._window, 1e-9)
-                at = self.turn_of + IN_TIME * min(share, 1.0) * whole
-                if self.failures:  # a deadline that nears is no reason to knock ever faster
-                    at = max(at, self.turn_of + min(0.1 * 2**self.failures, 0.4))
+            time_left_s = max(latest - self.turn_drawn_at, 0.0)
+            if at > self.turn_drawn_at + TURN_DEADLINE_SHARE * time_left_s:
+                share = (at - self.turn_drawn_at) / max(self._window_s, 1e-9)
+                at = self.turn_drawn_at + TURN_DEADLINE_SHARE * min(share, 1.0) * time_left_s
+                if self.failed_dials:  # a deadline that nears is no reason to knock ever faster
+                    at = max(at, self.turn_drawn_at + min(0.1 * 2**self.failed_dials, 0.4))
                     if at > latest:
-                        if whole < 0.1:
+                        if time_left_s < 0.1:
                             return None
-                        at = self.turn_of + 0.9 * whole
+                        at = self.turn_drawn_at + 0.9 * time_left_s
             return max(at, now)
-        rate = self._bucket(now)
-        if rate.take(now):
+        bucket = self._bucket(now)
+        if bucket.take(now):
             return now
-        at = now + rate.wait_s(now)
+        at = now + bucket.wait_s(now)
         return at if at <= latest else None
 
-    def _bucket(self, now: float) -> Rate:
-        if self._failing:
-            return self._failed_rate
-        unsettled = self._heard is not None and 0 <= now - self._heard < self.rules.settle_s
-        return self._rate if unsettled else self._calm
+    def _bucket(self, now: float) -> TokenBucket:
+        if self._is_failing:
+            return self._failing_bucket
+        unsettled = self._last_drawn_at is not None and 0 <= now - self._last_drawn_at < self.rules.settle_s
+        return self._settling_bucket if unsettled else self._steady_bucket
 
     def may_reopen(self, now: float) -> bool:
         """Whether the next idle connection that was lost may be opened again, in nobody's hand."""
-        if not self.owed or (self.turn_at is not None and now < self.turn_at):
+        if not self.reopens_due or (self.turn_at is not None and now < self.turn_at):
             return False
         return self.turn_at is not None or self._bucket(now).take(now)
 
-    def reopened(self, now: float, draw: float) -> float:
+    def reopen_started(self, now: float, draw: float) -> float:
         """One was; the next waits for a turn of its own, which holds up no request. Returns its delay."""
-        self.owed = max(self.owed - 1, 0)
+        self.reopens_due = max(self.reopens_due - 1, 0)
         return self._draw(now, draw)
--- a/sorreldock/client/policy/retry.py
+++ b/sorreldock/client/policy/retry.py
@@ -7,11 +7,11 @@
 from enum import Enum
 
 from .deadline import Deadline
-from .outcome import Kind, Outcome
-from .refusal import return_at
+from .outcome import Outcome, OutcomeKind
+from .refusal import retry_time
 
 
-class Budget:
+class RetryBudget:
     """A token bucket for the whole client, filled by first sends (Finagle's RetryBudget, gRFC A6's
     throttle).
 
@@ -20,23 +20,23 @@
     may repeat depends on what it has sent, and a test can say how much that is (`limit`).
     """
 
-    def __init__(self, share: float = 0.2, reserve: float = 3.0, most: float = 10.0) -> None:
-        self.share, self.reserve, self.most = share, reserve, max(most, reserve)
+    def __init__(self, share: float = 0.2, reserve: float = 3.0, max_tokens: float = 10.0) -> None:
+        self.share, self.reserve, self.max_tokens = share, reserve, max(max_tokens, reserve)
         self._tokens = reserve
         self.first_sends = 0
         self.retries = 0
 
-    def first_send(self) -> None:
+    def record_first_send(self) -> None:
         self.first_sends += 1
-        self._tokens = min(self._tokens + self.share, self.most)
+        self._tokens = min(self._tokens + self.share, self.max_tokens)
 
     @property
-    def open(self) -> bool:
+    def has_token(self) -> bool:
         return self._tokens >= 1.0 - 1e-9
 
     def take(self) -> bool:
         """Take the token of one retry; False when the budget is spent."""
-        if not self.open:
+        if not self.has_token:
             return False
         self._tokens -= 1.0
         self.retries += 1
@@ -44,7 +44,7 @@
 
     def refund(self) -> None:
         """Give back the token of a retry that was never sent."""
-        self._tokens = min(self._tokens + 1.0, self.most)
+        self._tokens = min(self._tokens + 1.0, self.max_tokens)
         self.retries -= 1
 
     @property
@@ -53,7 +53,7 @@
         return int(self.reserve + self.share * self.first_sends + 1e-9)
 
 
-class Then(Enum):
+class NextStep(Enum):
     """What follows an attempt."""
 
     GIVE_UP = "give up"
@@ -65,9 +65,9 @@
 class Decision:
     """What follows an attempt, and after which pause."""
 
-    then: Then
+    next_step: NextStep
     at: float = 0.0  # not before this moment
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,38 +85,38 @@
         rpc_class: str,
         retries: int,
         resends: int,
-        budget: Budget,
+        budget: RetryBudget,
         deadline: Deadline,
         now: float,
-        way_s: float,
+        round_trip_s: float,
         draw: float,
     ) -> Decision:
         """What follows this outcome of a call that has been retried and resent so often. Takes no token;
         the caller does, and gives it back should the retry never be sent.
         """
-        if outcome.kind is Kind.AT_FAULT:
-            return Decision(Then.GIVE_UP, why="the request is at fault")
-        if outcome.kind is Kind.EXPIRED or not deadline.allows(now, way_s):
-            return Decision(Then.GIVE_UP, why="the deadline has passed")
+        if outcome.kind is OutcomeKind.INVALID_REQUEST:
+            return Decision(NextStep.GIVE_UP, reason="the request is at fault")
+        if outcome.kind is OutcomeKind.EXPIRED or not deadline.can_send_at(now, round_trip_s):
+            return Decision(NextStep.GIVE_UP, reason="the deadline has passed")
         if outcome.stale and resends == 0:
-            return Decision(Then.RESEND, now)
-        if outcome.never_again:
-            return Decision(Then.GIVE_UP, why="the router forbids a retry")
-        if outcome.kind is Kind.MAY_HAVE_RUN and rpc_class not in self.safe_classes:
-            return Decision(Then.GIVE_UP, why="the request may have run")
+            return Decision(NextStep.RESEND, now)
+        if outcome.retry_forbidden:
+            return Decision(NextStep.GIVE_UP, reason="the router forbids a retry")
+        if outcome.kind is OutcomeKind.MAY_HAVE_RUN and rpc_class not in self.safe_classes:
+            return Decision(NextStep.GIVE_UP, reason="the request may have run")
         if retries >= self.max_retries:
-            return Decision(Then.GIVE_UP, why="no retry is left")
-        if not budget.open:
-            return Decision(Then.GIVE_UP, why="the retry budget is spent")
-        latest = deadline.at - way_s - deadline.least_s
-        if outcome.advice_s is not None:
-            at = return_at(now, outcome.advice_s, draw, latest)
+            return Decision(NextStep.GIVE_UP, reason="no retry is left")
+        if not budget.has_token:
+            return Decision(NextStep.GIVE_UP, reason="the retry budget is spent")
+        latest = deadline.at - round_trip_s - deadline.min_s
+        if outcome.retry_after_s is not None:
+            at = retry_time(now, outcome.retry_after_s, draw, latest)
             if at is None:
-                return Decision(Then.GIVE_UP, why="the advised moment is past the deadline")
-            return Decision(Then.RETRY, at)
-        if outcome.kind is Kind.NEVER_RAN:  # elsewhere at once; dials have a rate of their own
-            return Decision(Then.RETRY, now)
+                return Decision(NextStep.GIVE_UP, reason="the advised moment is past the deadline")
+            return Decision(NextStep.RETRY, at)
+        if outcome.kind is OutcomeKind.NEVER_RAN:  # elsewhere at once; dials have a rate of their own
+            return Decision(NextStep.RETRY, now)
         at = now + self.pause_s * (1.0 + 2.0 * draw)
         if at > latest:
-            return Decision(Then.GIVE_UP, why="no time is left for a pause")
-        return Decision(Then.RETRY, at)
+            return Decision(NextStep.GIVE_UP, reason="no time is left for a pause")
+        return Decision(NextStep.RETRY, at)
--- a/sorreldock/client/pool.py
+++ b/sorreldock/client/pool.py
@@ -8,16 +8,16 @@
 import anyio
 import anyio.abc
 
-from .http import HttpLine
-from .kserve import KserveLine
+from .http import HttpConnection
+from .kserve import KserveConnection
 from .policy.picker import Picker, Router
-from .policy.reconnect import Reconnect
+from .policy.reconnect import ReconnectGate
 from .sockets import Dial, DialFailed, dial
 from .stats import Stats
 from .types import ClientSettings
-from .wire import Line
+from .wire import Connection
 
-SWEEP_S = 0.1  # how often lines at rest are looked at
+SWEEP_INTERVAL_S = 0.1  # how often lines at rest are looked at
 IDLE_FACTOR = {"http": 1.0, "kserve": 8.0}  # the routers keep idle connections for 5 s, gRPC's for 60 s
 
 
@@ -35,58 +35,60 @@
     ) -> None:
         self.settings, self.protocol, self.picker, self.stats = settings, protocol, picker, stats
         self._rng, self._dial = rng, dial
-        self.reconnect = Reconnect(settings.reconnect)
-        self.lines: dict[str, list[Line]] = {}
+        self.reconnect_gate = ReconnectGate(settings.reconnect)
+        self.connections: dict[str, list[Connection]] = {}
         self.dialling: dict[str, int] = {}
         self.group: anyio.abc.TaskGroup | None = None
-        self.closed = False
+        self.is_closed = False
         self.observe: Callable[[str, str, float], None] = lambda what, router, at: None
         self._changed = anyio.Event()
 
     # Taking.
 
-    def _usable(self, line: Line) -> bool:
-        return line.room > 0 and (self.protocol == "kserve" or not line.socket.is_readable())
+    def _usable(self, connection: Connection) -> bool:
+        return connection.free_slots > 0 and (
+            self.protocol == "kserve" or not connection.socket.is_readable()
+        )
 
-    def take(self, address: str) -> Line | None:
+    def take_idle(self, address: str) -> Connection | None:
         """A line with room, the one used last first, so that others grow idle and close; None: dial."""
-        for line in reversed(self.lines.get(address, [])):
-            if line.room <= 0:
+        for connection in reversed(self.connections.get(address, [])):
+            if connection.free_slots <= 0:
                 continue
-            if self._usable(line):
-                return line
-            self._lost(line, idle=True)
-            return self.take(address)
+            if self._usable(connection):
+                return connection
+            self._handle_loss(connection, idle=True)
+            return self.take_idle(address)
         return None
 
-    def has_room(self, address: str) -> bool:
-        return any(line.room > 0 for line in self.lines.get(address, ()))
+    def has_free_slot(self, address: str) -> bool:
+        return any(connection.free_slots > 0 for connection in self.connections.get(address, ()))
 
-    def alive(self, address: str) -> bool:
+    def has_live_connection(self, address: str) -> bool:
         """Whether a line to this router is open that the router has not said it will end."""
-        return any(not line.going for line in self.lines.get(address, ()))
+        return any(not connection.closing for connection in self.connections.get(address, ()))
 
-    def full(self, address: str) -> bool:
-        count = len(self.lines.get(address, ())) + self.dialling.get(address, 0)
+    def is_full(self, address: str) -> bool:
+        count = len(self.connections.get(address, ())) + self.dialling.get(address, 0)
         return count >= self.settings.max_connections
 
-    async def changed(self, until: float) -> None:
+    async def wait_for_change(self, until: float) -> None:
         """Wait until a line has come, gone or got room, or until this moment."""
         event = self._changed
         with anyio.move_on_after(max(until - anyio.current_time(), 0.0)):
             await event.wait()
 
-    def notify(self) -> None:
+    def notify_change(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
     # Dialling.
 
-    async def dial(self, router: Router) -> Line:
+    async def dial(self, router: Router) -> Connection:
         """A new line. DialFailed when none came up; the picker and the gate have heard of it then."""
         address, settings = router.address, self.settings
         self.dialling[address] = self.dialling.get(address, 0) + 1
-        since = anyio.current_time()
+        started_at = anyio.current_time()
         try:
             with anyio.move_on_after(settings.dial_timeout_s) as scope:
                 socket = await self._dial(address, settings.silence_s)
@@ -96,155 +98,161 @@
             now = anyio.current_time()
             self.stats.dials_failed += 1
             self.observe("dial failed", address, now)
-            self.picker.failed(router, now)
-            self._drew(self.reconnect.failed(now, self._rng.random()))
+            self.picker.record_failure(router, now)
+            self._record_delay(self.reconnect_gate.dial_failed(now, self._rng.random()))
             raise
         finally:
             self.dialling[address] -= 1
             if not self.dialling[address]:
                 del self.dialling[address]
-            self.notify()
+            self.notify_change()
         now = anyio.current_time()
-        if self.closed or self.group is None:
+        if self.is_closed or self.group is None:
             socket.close()
             raise DialFailed("the client is closed")
-        router.way.learn(now - since)
-        self.reconnect.opened(now)
+        router.round_trip.add_sample(now - started_at)
+        self.reconnect_gate.dial_succeeded(now)
         self.stats.connections_opened += 1
         self.observe("opened", address, now)
-        line: Line
+        connection: Connection
         if self.protocol == "kserve":
-            line = kserve = KserveLine(address, socket, now, settings.largest_event)
-            kserve.on_going = lambda: self._said_going(kserve)
+            connection = kserve = KserveConnection(address, socket, now, settings.largest_event)
+            kserve.on_closing = lambda: self._handle_closing(kserve)
             self.group.start_soon(self._run, kserve)
         else:
-            line = HttpLine(address, socket, now, settings.largest_event)
-        self.lines.setdefault(address, []).append(line)
+            connection = HttpConnection(address, socket, now, settings.largest_event)
+        self.connections.setdefault(address, []).append(connection)
         self.stats.open_connections += 1
-        return line
+        return connection
 
-    async def _run(self, line: KserveLine) -> None:
-        await line.run()
-        if not line.socket.closed and not line.going:
-            self._lost(line, idle=not line.busy)
+    async def _run(self, connection: KserveConnection) -> None:
+        await connection.run()
+        if not connection.socket.closed and not connection.closing:
+            self._handle_loss(connection, idle=not connection.busy)
         else:
-            self.drop(line)
+            self.drop(connection)
 
-    def _drew(self, delay: float | None) -> None:
+    def _record_delay(self, delay: float | None) -> None:
         if delay is not None:
             self.stats.record(self.stats.reconnect_delay_us, delay)
 
     # Losing.
 
-    def _said_going(self, line: Line) -> None:
+    def _handle_closing(self, connection: Connection) -> None:
         now = anyio.current_time()
-        router = self.picker.routers.get(line.router)
+        router = self.picker.routers.get(connection.router)
         if router is None:  # it has left the list: its end is our own doing
             return
-        self.picker.going(router, now)
+        self.picker.record_stopping(router, now)
         self.stats.connections_lost += 1
-        self.observe("lost", line.router, now)
-        self._drew(self.reconnect.lost(now, self._rng.random(), idle=not line.busy))
-        self.notify()
+        self.observe("lost", connection.router, now)
+        self._record_delay(
+            self.reconnect_gate.connection_lost(now, self._rng.random(), idle=not connection.busy)
+        )
+        self.notify_change()
 
-    def _lost(self, line: Line, idle: bool) -> None:
-        self.drop(line)
+    def _handle_loss(self, connection: Connection, idle: bool) -> None:
+        self.drop(connection)
         now = anyio.current_time()
         self.stats.connections_lost += 1
-        self.observe("lost", line.router, now)
-        self._drew(self.reconnect.lost(now, self._rng.random(), idle=idle))
+        self.observe("lost", connection.router, now)
+        self._record_delay(self.reconnect_gate.connection_lost(now, self._rng.random(), idle=idle))
 
-    def lost_kept(self, line: Line) -> None:
+    def kept_connection_lost(self, connection: Connection) -> None:
         """A kept line ended under a request: so may others' have."""
-        self._lost(line, idle=False)
+        self._handle_loss(connection, idle=False)
 
-    def tried_all(self) -> None:
+    def all_dials_failed(self) -> None:
         """A request in hand has met no router at all: the next dial waits for a turn, as after a loss."""
-        self._drew(self.reconnect.lost(anyio.current_time(), self._rng.random(), idle=False))
+        self._record_delay(
+            self.reconnect_gate.connection_lost(anyio.current_time(), self._rng.random(), idle=False)
+        )
 
-    def drop(self, line: Line) -> None:
-        line.close()
-        lines = self.lines.get(line.router, [])
-        if line in lines:
-            lines.remove(line)
+    def drop(self, connection: Connection) -> None:
+        connection.close()
+        connections = self.connections.get(connection.router, [])
+        if connection in connections:
+            connections.remove(connection)
             self.stats.open_connections -= 1
-            if not lines:
-                del self.lines[line.router]
-        self.notify()
+            if not connections:
+                del self.connections[connection.router]
+        self.notify_change()
 
-    def released(self, line: Line) -> None:
+    def release(self, connection: Connection) -> None:
         """An exchange has let go of it."""
-        if line.going and self.protocol == "http" and line.router in self.picker.routers:
-            self._said_going(line)
-        if line.socket.closed or (line.going and not line.busy):
-            self.drop(line)
-        self.notify()
+        if connection.closing and self.protocol == "http" and connection.router in self.picker.routers:
+            self._handle_closing(connection)
+        if connection.socket.closed or (connection.closing and not connection.busy):
+            self.drop(connection)
+        self.notify_change()
 
     def close(self) -> None:
-        self.closed = True
-        for lines in list(self.lines.values()):
-            for line in list(lines):
-                self.drop(line)
-        self.notify()
+        self.is_closed = True
+        for connections in list(self.connections.values()):
+            for connection in list(connections):
+                self.drop(connection)
+        self.notify_change()
 
     def close_after_fork(self) -> None:
         """In a forked child: let this process's copies of the descriptors go, and say nothing on them."""
-        self.closed = True
-        for lines in self.lines.values():
-            for line in lines:
-                line.socket.close_after_fork()
-        self.lines.clear()
+        self.is_closed = True
+        for connections in self.connections.values():
+            for connection in connections:
+                connection.socket.close_after_fork()
+        self.connections.clear()
 
-    def left(self, addresses: list[str]) -> None:
+    def remove_routers(self, addresses: list[str]) -> None:
         """Routers that are on the list no more: what is at rest closes, what is busy ends its calls."""
         for address in addresses:
-            for line in list(self.lines.get(address, ())):
-                line.going = True
-                if not line.busy:
-                    self.drop(line)
+            for connection in list(self.connections.get(address, ())):
+                connection.closing = True
+                if not connection.busy:
+                    self.drop(connection)
 
     # At rest.
 
-    async def watch(self) -> None:
+    async def maintain(self) -> None:
         while True:
-            if not self.lines and not self.reconnect.owed:
+            if not self.connections and not self.reconnect_gate.reopens_due:
                 await self._changed.wait()
                 continue
-            await anyio.sleep(SWEEP_S)
+            await anyio.sleep(SWEEP_INTERVAL_S)
             self.sweep(anyio.current_time())
             await self._reopen_one(anyio.current_time())
 
     def sweep(self, now: float) -> None:
         """Close what has rested long enough, and find out what has ended or fallen silent."""
         idle_s = self.settings.idle_s * IDLE_FACTOR[self.protocol]
-        for line in [line for lines in self.lines.values() for line in lines]:
-            if isinstance(line, KserveLine) and line.busy:
-                if not line.ping_if_quiet(now, self.settings.ping_s):
-                    line.fail("no answer to a ping")
-                    router = self.picker.routers.get(line.router)
+        for connection in [
+            connection for connections in self.connections.values() for connection in connections
+        ]:
+            if isinstance(connection, KserveConnection) and connection.busy:
+                if not connection.ping_if_quiet(now, self.settings.ping_s):
+                    connection.fail_connection("no answer to a ping")
+                    router = self.picker.routers.get(connection.router)
                     if router is not None:
-                        self.picker.failed(router, now)
-            elif not line.busy:
-                if now - line.at_rest_since >= idle_s:
-                    self.drop(line)
-                elif not isinstance(line, KserveLine) and line.socket.is_readable():
-                    self._lost(line, idle=True)
+                        self.picker.record_failure(router, now)
+            elif not connection.busy:
+                if now - connection.idle_since >= idle_s:
+                    self.drop(connection)
+                elif not isinstance(connection, KserveConnection) and connection.socket.is_readable():
+                    self._handle_loss(connection, idle=True)
 
     async def _reopen_one(self, now: float) -> None:
         """An idle connection that was lost comes back late and alone, if its place is still empty."""
-        if self.lines:
-            self.reconnect.owed = 0
+        if self.connections:
+            self.reconnect_gate.reopens_due = 0
             return
-        if self.dialling or not self.reconnect.may_reopen(now):
+        if self.dialling or not self.reconnect_gate.may_reopen(now):
             return
         router = self.picker.pick(
             now, (self._rng.random(), self._rng.random()), lambda r: False, lambda r: False
         )
         if router is None:
             return
-        self._drew(self.reconnect.reopened(now, self._rng.random()))
+        self._record_delay(self.reconnect_gate.reopen_started(now, self._rng.random()))
         try:
-            line = await self.dial(router)
+            connection = await self.dial(router)
         except DialFailed:
             return
-        line.at_rest_since = anyio.current_time()
+        connection.idle_since = anyio.current_time()
--- a/sorreldock/client/sockets.py
+++ b/sorreldock/client/sockets.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-CHUNK = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 
 class ConnectionLost(Exception):
@@ -42,21 +42,21 @@
             try:
                 view = view[self._sock.send(view) :]
             except (BlockingIOError, InterruptedError):
-                await self._writable()
+                await self._wait_writable()
             except OSError as error:
-                raise ConnectionLost(_said(error), unread=True) from None
+                raise ConnectionLost(_describe(error), unread=True) from None
         self.all_sent = True
 
     async def receive(self) -> bytes:
         """What has arrived; b"" once the peer has ended its sending. Lost for a reset."""
         while True:
             try:
-                return self._sock.recv(CHUNK)
+                return self._sock.recv(RECEIVE_BYTES)
             except (BlockingIOError, InterruptedError):
-                await self._readable()
+                await self._wait_readable()
             except OSError as error:
                 # A reset: the peer's machine held bytes that nobody had read, or knew no such connection.
-                raise ConnectionLost(_said(error), unread=True) from None
+                raise ConnectionLost(_describe(error), unread=True) from None
 
     def unread_by_peer(self) -> bool:
         """Whether, after the peer's end, some of what was sent had not even reached its machine, or was
@@ -67,9 +67,9 @@
         try:
             if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 return True
-            waiting = array.array("i", [0])
-            fcntl.ioctl(self._sock.fileno(), termios.TIOCOUTQ, waiting)
-            return waiting[0] > 0
+            unacknowledged = array.array("i", [0])
+            fcntl.ioctl(self._sock.fileno(), termios.TIOCOUTQ, unacknowledged)
+            return unacknowledged[0] > 0
         except OSError:
             return True
 
@@ -83,13 +83,13 @@
             return True
         return True
 
-    async def _readable(self) -> None:
+    async def _wait_readable(self) -> None:
         try:
             await anyio.wait_readable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
             raise ConnectionLost("closed here") from None
 
-    async def _writable(self) -> None:
+    async def _wait_writable(self) -> None:
         try:
             await anyio.wait_writable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
@@ -111,7 +111,7 @@
 Dial = Callable[[str, float], Awaitable[Socket]]
 
 
-def _said(error: OSError) -> str:
+def _describe(error: OSError) -> str:
     return (error.strerror or str(error)).lower()
 
 
@@ -123,29 +123,29 @@
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     try:
-        found = await anyio.getaddrinfo(host, int(port), type=socket.SOCK_STREAM)
+        addresses = await anyio.getaddrinfo(host, int(port), type=socket.SOCK_STREAM)
     except OSError as error:
-        raise DialFailed(f"{host}: {_said(error)}") from None
-    last = "no address"
-    for family, kind, protocol, _, where in found[:4]:
+        raise DialFailed(f"{host}: {_describe(error)}") from None
+    last_error = "no address"
+    for family, kind, protocol, _, sockaddr in addresses[:4]:
         sock = socket.socket(family, kind, protocol)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if hasattr(socket, "TCP_USER_TIMEOUT"):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(silence_s * 1000))
-            code = sock.connect_ex(where)
+            code = sock.connect_ex(sockaddr)
             if code == errno.EINPROGRESS:
                 await anyio.wait_writable(sock)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code == 0:
                 return Socket(sock)
-            last = errno.errorcode.get(code, str(code))
-            last = {"ECONNREFUSED": "connection refused"}.get(last, last)
+            last_error = errno.errorcode.get(code, str(code))
+            last_error = {"ECONNREFUSED": "connection refused"}.get(last_error, last_error)
         except OSError as error:
-            last = _said(error)
+            last_error = _describe(error)
         except BaseException:
             sock.close()
             raise
         sock.close()
-    raise DialFailed(last)
+    raise DialFailed(last_error)
--- a/sorreldock/client/stats.py
+++ b/sorreldock/client/stats.py
@@ -7,11 +7,11 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_RECORDED_US = 3_600_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, MAX_RECORDED_US, DIGITS)
+    return HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass
@@ -53,20 +53,20 @@
 
     def as_dict(self) -> dict[str, object]:
         """For JSON: the counters, and of each histogram count, p50, p95, p99 and max in seconds."""
-        out: dict[str, object] = dict(self.counters())
+        result: dict[str, object] = dict(self.counters())
         for f in fields(self):
             value = getattr(self, f.name)
             if isinstance(value, HdrHistogram):
-                out[f.name.removesuffix("_us") + "_s"] = summary(value)
-        return out
+                result[f.name.removesuffix("_us") + "_s"] = summary(value)
+        return result
 
 
 def summary(histogram: HdrHistogram) -> dict[str, float]:
     if not histogram.total_count:
         return {"count": 0}
-    at = histogram.get_value_at_percentile
+    value_at = histogram.get_value_at_percentile
     return {
         "count": histogram.total_count,
-        **{f"p{p}": at(p) / 1e6 for p in (50, 95, 99)},
+        **{f"p{p}": value_at(p) / 1e6 for p in (50, 95, 99)},
         "max": histogram.get_max_value() / 1e6,
     }
--- a/sorreldock/client/types.py
+++ b/sorreldock/client/types.py
@@ -11,11 +11,11 @@
 from .policy.picker import Endpoint, PickRules
 from .policy.reconnect import ReconnectRules
 
-LARGEST_BODY = 256 * 1024  # bytes; the routers take no more
-NAME = re.compile(r"[\x21-\x7e](?:[\x20-\x7e]{0,198}[\x21-\x7e])?")
-PREFIX = re.compile(r"[^,]*")
+MAX_BODY_BYTES = 256 * 1024  # bytes; the routers take no more
+NAME_PATTERN = re.compile(r"[\x21-\x7e](?:[\x20-\x7e]{0,198}[\x21-\x7e])?")
+PREFIX_PATTERN = re.compile(r"[^,]*")
 PROTOCOLS = ("http", "kserve")
-Rest = Callable[[bytes, "list[bytes]"], bytes]
+MakeRest = Callable[[bytes, "list[bytes]"], bytes]
 
 
 class ClientError(Exception):
@@ -78,12 +78,12 @@
     """The client was closed while the call was open, or belongs to another process."""
 
 
-def _name(value: str, field_name: str, needed: bool = False) -> None:
+def _check_name(value: str, field_name: str, is_required: bool = False) -> None:
     if not isinstance(value, str):
         raise ValueError(f"{field_name} is not a text: {value!r}")
-    if not value and not needed:
+    if not value and not is_required:
         return
-    if not NAME.fullmatch(value):
+    if not NAME_PATTERN.fullmatch(value):
         raise ValueError(f"{field_name} is not 1 to 200 printable ASCII characters: {value[:40]!r}")
 
 
@@ -103,13 +103,13 @@
     prefix_tokens: int = 0
     max_output_tokens: int = 0
     model: str = "desc"  # KServe's model name; HTTP names it in the body
-    rest: Rest | None = None
+    rest: MakeRest | None = None
 
     def __post_init__(self) -> None:
-        _name(self.rpc_class, "rpc_class", needed=True)
+        _check_name(self.rpc_class, "rpc_class", is_required=True)
         for name in ("tenant", "session", "prefix", "model"):
-            _name(getattr(self, name), name)
-        if not PREFIX.fullmatch(self.prefix):
+            _check_name(getattr(self, name), name)
+        if not PREFIX_PATTERN.fullmatch(self.prefix):
             raise ValueError(f"prefix holds a comma: {self.prefix[:40]!r}")
         for name in ("prompt_tokens", "prefix_tokens", "max_output_tokens"):
             value = getattr(self, name)
@@ -117,8 +117,8 @@
                 raise ValueError(f"{name} is not a whole number from 0 to 999999999: {value!r}")
         if not isinstance(self.body, bytes):
             raise ValueError("body is not bytes")
-        if len(self.body) > LARGEST_BODY:
-            raise ValueError(f"body holds {len(self.body)} bytes, more than {LARGEST_BODY}")
+        if len(self.body) > MAX_BODY_BYTES:
+            raise ValueError(f"body holds {len(self.body)} bytes, more than {MAX_BODY_BYTES}")
 
 
 def text_of(event: bytes) -> str:
@@ -142,14 +142,14 @@
     try:
         chat = json.loads(body)
         messages = chat["messages"]
-        begun = "".join(map(text_of, received))
+        answer_text = "".join(map(text_of, received))
     except (ValueError, LookupError, TypeError, RecursionError):
         return body
-    if not isinstance(messages, list) or not begun:
+    if not isinstance(messages, list) or not answer_text:
         return body
-    chat["messages"] = [*messages, {"role": "assistant", "content": begun}]
-    made = json.dumps(chat, separators=(",", ":")).encode()
-    return made if len(made) <= LARGEST_BODY else body
+    chat["messages"] = [*messages, {"role": "assistant", "content": answer_text}]
+    continued = json.dumps(chat, separators=(",", ":")).encode()
+    return continued if len(continued) <= MAX_BODY_BYTES else body
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,10 +195,10 @@
                 raise ValueError(f"{name} is not a positive number: {value!r}")
 
 
-def endpoint(router: str | Endpoint) -> Endpoint:
+def parse_endpoint(router: str | Endpoint) -> Endpoint:
     """`host:port`, or `[v6]:port`, checked; ValueError says what is wrong."""
-    made = router if isinstance(router, Endpoint) else Endpoint(router)
-    host, _, port = made.address.rpartition(":")
+    checked = router if isinstance(router, Endpoint) else Endpoint(router)
+    host, _, port = checked.address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{made.address!r} is not host:port")
-    return made
+        raise ValueError(f"{checked.address!r} is not host:port")
+    return checked
--- a/sorreldock/client/wire.py
+++ b/sorreldock/client/wire.py
@@ -6,36 +6,36 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .policy.outcome import Kind, Outcome
+from .policy.outcome import Outcome, OutcomeKind
 from .sockets import ConnectionLost, Socket
 from .types import Request
 
-CROSSING_S = 0.25  # a reset this soon after the last byte: the router's end crossed the request
+RESET_CROSSING_S = 0.25  # a reset this soon after the last byte: the router's end crossed the request
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class AttemptMark:
     """What an attempt says of itself on the wire."""
 
-    name: str  # the trace id: every attempt has a new one
+    trace_id: str  # the trace id: every attempt has a new one
     retry: int = 0  # how many times this request has been sent again
     resumed: bool = False  # it asks for the rest of a broken answer
 
 
-class Line(ABC):
+class Connection(ABC):
     """One connection to a router."""
 
     def __init__(self, router: str, socket: Socket, now: float) -> None:
         self.router = router
         self.socket = socket
-        self.carried = 0  # calls that it has carried to an answer: kept if any
-        self.socket_lost = False  # it ended under a request, before anything of an answer had come
-        self.going = False  # the router has said that it will end this connection
-        self.at_rest_since = now
+        self.calls_completed = 0  # calls that it has carried to an answer: kept if any
+        self.lost_before_answer = False  # it ended under a request, before anything of an answer had come
+        self.closing = False  # the router has said that it will end this connection
+        self.idle_since = now
 
     @property
     @abstractmethod
-    def room(self) -> int:
+    def free_slots(self) -> int:
         """How many more calls it can take now."""
 
     @property
@@ -43,7 +43,7 @@
     def busy(self) -> bool: ...
 
     @abstractmethod
-    def start(self, request: Request, body: bytes, mark: Mark) -> Exchange:
+    def start(self, request: Request, body: bytes, mark: AttemptMark) -> Exchange:
         """Take a place on this line; nothing is written yet."""
 
     @abstractmethod
@@ -54,7 +54,7 @@
     """One attempt of a call. `close` at any moment cancels it at the router."""
 
     begun = False  # the head of an answer has come
-    whole = False  # the answer has come to its end
+    is_complete = False  # the answer has come to its end
 
     @abstractmethod
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
@@ -63,15 +63,15 @@
         """
 
     @abstractmethod
-    async def first(self) -> bytes | Outcome | None:
+    async def first_event(self) -> bytes | Outcome | None:
         """The first event; None for a whole answer without one; or what the attempt came to instead."""
 
-    def ready(self) -> bytes | None:
+    def buffered_event(self) -> bytes | None:
         """An event that has been read already; None if `next` has to look for one."""
         return None
 
     @abstractmethod
-    async def next(self) -> bytes | None:
+    async def next_event(self) -> bytes | None:
         """The next event; None at the end of a whole answer. Lost if it was cut off."""
 
     @abstractmethod
@@ -79,15 +79,22 @@
         """Let go of the line; an exchange that is not over is cancelled."""
 
 
-def outcome_of(lost: ConnectionLost, line: Line, begun: bool, sent: bool, since_sent_s: float) -> Outcome:
+def outcome_of(
+    lost: ConnectionLost, connection: Connection, begun: bool, sent: bool, since_sent_s: float
+) -> Outcome:
     """What a connection that ended before the first event means for the request (RFC 9112 9.3.1, and the
     platform's page: sent once more only if the router has not read it).
     """
     if begun:
-        return Outcome(Kind.MAY_HAVE_RUN, f"cut off before the first event: {lost.cause}", begun=True)
+        return Outcome(OutcomeKind.MAY_HAVE_RUN, f"cut off before the first event: {lost.cause}", begun=True)
     if not sent:
-        return Outcome(Kind.NEVER_RAN, lost.cause, stale=line.carried > 0, router_fault=line.carried == 0)
-    crossed = lost.unread and since_sent_s <= CROSSING_S
-    if line.carried and (crossed or line.socket.unread_by_peer()):
-        return Outcome(Kind.NEVER_RAN, f"the kept connection had ended: {lost.cause}", stale=True)
-    return Outcome(Kind.MAY_HAVE_RUN, f"no answer: {lost.cause}", router_fault=True)
+        return Outcome(
+            OutcomeKind.NEVER_RAN,
+            lost.cause,
+            stale=connection.calls_completed > 0,
+            router_fault=connection.calls_completed == 0,
+        )
+    crossed = lost.unread and since_sent_s <= RESET_CROSSING_S
+    if connection.calls_completed and (crossed or connection.socket.unread_by_peer()):
+        return Outcome(OutcomeKind.NEVER_RAN, f"the kept connection had ended: {lost.cause}", stale=True)
+    return Outcome(OutcomeKind.MAY_HAVE_RUN, f"no answer: {lost.cause}", router_fault=True)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -473,7 +473,7 @@
 async def test_nothing_is_sent_that_cannot_be_in_time() -> None:
     with hosted(Stub(answers(OK)).on()) as stub:
         async with Client([stub.address]) as client:
-            client._shared.picker.routers[stub.address].way.learn(1.0)  # a way of 1 s
+            client._shared.picker.routers[stub.address].round_trip.add_sample(1.0)  # a way of 1 s
             with pytest.raises(ClientError) as error:
                 await client.ask(ASK, 0.5)
             assert error.value.attempts == 0 and not stub.heads
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -10,40 +10,40 @@
 from hypothesis import strategies as st
 
 from sorreldock.client import Endpoint, PickRules, ReconnectRules, Request
-from sorreldock.client.http import EventCutter
-from sorreldock.client.policy.deadline import Deadline, Way
-from sorreldock.client.policy.outcome import Kind, Outcome
-from sorreldock.client.policy.picker import Picker, subset
-from sorreldock.client.policy.reconnect import Rate, Reconnect
-from sorreldock.client.policy.refusal import Pauses, pushback, retry_after, return_at
-from sorreldock.client.policy.retry import Budget, Decision, RetryRules, Then
+from sorreldock.client.http import EventSplitter
+from sorreldock.client.policy.deadline import Deadline, DurationEstimate
+from sorreldock.client.policy.outcome import Outcome, OutcomeKind
+from sorreldock.client.policy.picker import Picker, choose_subset
+from sorreldock.client.policy.reconnect import ReconnectGate, TokenBucket
+from sorreldock.client.policy.refusal import Pauses, parse_pushback, parse_retry_after, retry_time
+from sorreldock.client.policy.retry import Decision, NextStep, RetryBudget, RetryRules
 from sorreldock.client.types import ClientSettings, rest_of
 
-REFUSED = Outcome(Kind.REFUSED, "refused")
-RAN = Outcome(Kind.MAY_HAVE_RUN, "reset")
+REFUSED = Outcome(OutcomeKind.REFUSED, "refused")
+RAN = Outcome(OutcomeKind.MAY_HAVE_RUN, "reset")
 
 
 def test_what_is_told_of_the_deadline_is_what_is_left_less_the_way() -> None:
-    deadline = Deadline(10.0, least_s=0.01)
-    assert deadline.to_send(8.0, 0.5) == pytest.approx(1.5)
-    assert deadline.to_send(9.48, 0.5) == pytest.approx(0.02)
-    assert deadline.to_send(9.4901, 0.5) is None
-    assert not deadline.allows(11.0)
+    deadline = Deadline(10.0, min_s=0.01)
+    assert deadline.time_to_send(8.0, 0.5) == pytest.approx(1.5)
+    assert deadline.time_to_send(9.48, 0.5) == pytest.approx(0.02)
+    assert deadline.time_to_send(9.4901, 0.5) is None
+    assert not deadline.can_send_at(11.0)
 
 
 def test_the_way_is_learned_and_bounded() -> None:
-    way = Way(longest_s=1.0)
-    assert way.estimate_s == 0.0
-    way.learn(0.3)
-    assert way.estimate_s == pytest.approx(0.6)
+    estimate = DurationEstimate(max_s=1.0)
+    assert estimate.estimate_s == 0.0
+    estimate.add_sample(0.3)
+    assert estimate.estimate_s == pytest.approx(0.6)
     for _ in range(60):
-        way.learn(0.3)
-    assert way.estimate_s == pytest.approx(0.3, abs=0.01)
+        estimate.add_sample(0.3)
+    assert estimate.estimate_s == pytest.approx(0.3, abs=0.01)
     for bad in (-5.0, math.nan, math.inf):
-        way.learn(bad)
-    assert way.estimate_s == pytest.approx(0.3, abs=0.01)
-    way.learn(300.0)
-    assert way.estimate_s == 1.0
+        estimate.add_sample(bad)
+    assert estimate.estimate_s == pytest.approx(0.3, abs=0.01)
+    estimate.add_sample(300.0)
+    assert estimate.estimate_s == 1.0
 
 
 WALL = 1_764_590_400.0  # Mon, 01 Dec 2025 12:00:00 GMT
@@ -71,7 +71,7 @@
     ],
 )
 def test_retry_after(text: str | None, seconds: float | None) -> None:
-    assert retry_after(text, WALL) == seconds
+    assert parse_retry_after(text, WALL) == seconds
 
 
 @pytest.mark.parametrize(
@@ -86,28 +86,28 @@
     ],
 )
 def test_pushback(text: str | None, said: tuple[float | None, bool]) -> None:
-    assert pushback(text) == said
+    assert parse_pushback(text) == said
 
 
 @given(st.floats(0, 100), st.floats(0, 50), st.floats(0, 0.999), st.floats(0, 200))
 def test_nobody_returns_early(now: float, advice: float, draw: float, latest: float) -> None:
-    at = return_at(now, advice, draw, latest)
+    at = retry_time(now, advice, draw, latest)
     assert (at is None) == (now + advice > latest)
     assert at is None or now + advice <= at <= latest
 
 
 def test_pauses_are_kept_by_router_and_class_and_end() -> None:
-    pauses = Pauses(longest_s=10.0, most=2)
-    pauses.ask("a", "x", 0.0, 3.0)
-    pauses.ask("a", "x", 0.0, 1.0)  # an earlier end does not shorten it
-    assert pauses.left("a", "x", 1.0) == 2.0
-    assert pauses.left("a", "y", 1.0) == pauses.left("b", "x", 1.0) == 0.0
-    pauses.ask("b", "x", 0.0, 9e9)
-    assert pauses.left("b", "x", 0.0) == 10.0
-    assert pauses.left("b", "x", -1e6) == 10.0  # a clock that stepped back makes none endless
-    pauses.ask("c", "x", 0.0, 5.0)
+    pauses = Pauses(max_pause_s=10.0, max_entries=2)
+    pauses.add("a", "x", 0.0, 3.0)
+    pauses.add("a", "x", 0.0, 1.0)  # an earlier end does not shorten it
+    assert pauses.remaining_s("a", "x", 1.0) == 2.0
+    assert pauses.remaining_s("a", "y", 1.0) == pauses.remaining_s("b", "x", 1.0) == 0.0
+    pauses.add("b", "x", 0.0, 9e9)
+    assert pauses.remaining_s("b", "x", 0.0) == 10.0
+    assert pauses.remaining_s("b", "x", -1e6) == 10.0  # a clock that stepped back makes none endless
+    pauses.add("c", "x", 0.0, 5.0)
     assert len(pauses) == 2
-    pauses.ask("c", "x", 50.0, 5.0)  # what has ended makes room
+    pauses.add("c", "x", 50.0, 5.0)  # what has ended makes room
     assert len(pauses) == 1
     pauses.forget("c")
     assert len(pauses) == 0
@@ -118,10 +118,10 @@
         "rpc_class": "alt-text",
         "retries": 0,
         "resends": 0,
-        "budget": Budget(),
+        "budget": RetryBudget(),
         "deadline": Deadline(10.0),
         "now": 1.0,
-        "way_s": 0.0,
+        "round_trip_s": 0.0,
         "draw": 0.5,
     }
     rules = changes.pop("rules", RetryRules())
@@ -130,47 +130,47 @@
 
 
 def test_only_what_is_safe_is_retried() -> None:
-    assert after(REFUSED).then is Then.RETRY and after(REFUSED).at > 1.0
-    assert after(Outcome(Kind.NEVER_RAN, "")) == Decision(Then.RETRY, 1.0)
-    assert after(RAN).then is Then.GIVE_UP
+    assert after(REFUSED).next_step is NextStep.RETRY and after(REFUSED).at > 1.0
+    assert after(Outcome(OutcomeKind.NEVER_RAN, "")) == Decision(NextStep.RETRY, 1.0)
+    assert after(RAN).next_step is NextStep.GIVE_UP
     safe = RetryRules(safe_classes=["alt-text"])
-    assert after(RAN, rules=safe).then is Then.RETRY
-    assert after(RAN, rules=safe, rpc_class="other").then is Then.GIVE_UP
-    for kind in (Kind.AT_FAULT, Kind.EXPIRED):
-        assert after(Outcome(kind, ""), rules=safe).then is Then.GIVE_UP
-    assert after(Outcome(Kind.REFUSED, "", never_again=True)).then is Then.GIVE_UP
+    assert after(RAN, rules=safe).next_step is NextStep.RETRY
+    assert after(RAN, rules=safe, rpc_class="other").next_step is NextStep.GIVE_UP
+    for kind in (OutcomeKind.INVALID_REQUEST, OutcomeKind.EXPIRED):
+        assert after(Outcome(kind, ""), rules=safe).next_step is NextStep.GIVE_UP
+    assert after(Outcome(OutcomeKind.REFUSED, "", retry_forbidden=True)).next_step is NextStep.GIVE_UP
 
 
 def test_a_retry_needs_one_left_a_token_and_time() -> None:
-    assert after(REFUSED, retries=1).why == "no retry is left"
-    assert after(REFUSED, rules=RetryRules(max_retries=0)).why == "no retry is left"
-    assert after(REFUSED, budget=Budget(reserve=0.0)).why == "the retry budget is spent"
-    assert after(REFUSED, now=9.9).why == "no time is left for a pause"
-    assert after(Outcome(Kind.REFUSED, "", 8.99)).then is Then.RETRY
-    assert after(Outcome(Kind.REFUSED, "", 9.0)).why == "the advised moment is past the deadline"
-    assert after(Outcome(Kind.REFUSED, "", 2.0), draw=0.0).at == 3.0
+    assert after(REFUSED, retries=1).reason == "no retry is left"
+    assert after(REFUSED, rules=RetryRules(max_retries=0)).reason == "no retry is left"
+    assert after(REFUSED, budget=RetryBudget(reserve=0.0)).reason == "the retry budget is spent"
+    assert after(REFUSED, now=9.9).reason == "no time is left for a pause"
+    assert after(Outcome(OutcomeKind.REFUSED, "", 8.99)).next_step is NextStep.RETRY
+    assert after(Outcome(OutcomeKind.REFUSED, "", 9.0)).reason == "the advised moment is past the deadline"
+    assert after(Outcome(OutcomeKind.REFUSED, "", 2.0), draw=0.0).at == 3.0
 
 
 def test_what_a_kept_connection_never_delivered_is_sent_once_more_without_a_retry() -> None:
-    stale = Outcome(Kind.NEVER_RAN, "", stale=True)
-    assert after(stale, rules=RetryRules(max_retries=0)).then is Then.RESEND
-    assert after(stale, rules=RetryRules(max_retries=0), resends=1).then is Then.GIVE_UP
-    assert after(stale, now=11.0).then is Then.GIVE_UP
+    stale = Outcome(OutcomeKind.NEVER_RAN, "", stale=True)
+    assert after(stale, rules=RetryRules(max_retries=0)).next_step is NextStep.RESEND
+    assert after(stale, rules=RetryRules(max_retries=0), resends=1).next_step is NextStep.GIVE_UP
+    assert after(stale, now=11.0).next_step is NextStep.GIVE_UP
 
 
 @given(st.lists(st.booleans(), max_size=300))
 def test_retries_never_pass_the_limit(sends: list[bool]) -> None:
-    budget = Budget(share=0.2, reserve=3, most=10)
+    budget = RetryBudget(share=0.2, reserve=3, max_tokens=10)
     for retry in sends:
         if retry:
             budget.take()
         else:
-            budget.first_send()
+            budget.record_first_send()
         assert budget.retries <= budget.limit
 
 
 def test_a_token_given_back_can_be_taken_again() -> None:
-    budget = Budget(share=0.0, reserve=1.0)
+    budget = RetryBudget(share=0.0, reserve=1.0)
     assert budget.take() and not budget.take()
     budget.refund()
     assert budget.retries == 0 and budget.take()
@@ -183,13 +183,13 @@
     rng = random.Random(1)
     turns = []
     for _ in range(2000):
-        gate = Reconnect(ReconnectRules())
-        assert gate.may_dial_at(0.0, 10.0, 0, False) == 0.0  # nothing was lost: at once
-        gate.lost(0.0, rng.random(), idle=False)
-        at = gate.may_dial_at(0.0, 30.0, 0, False)
+        gate = ReconnectGate(ReconnectRules())
+        assert gate.next_dial_time(0.0, 10.0, 0, False) == 0.0  # nothing was lost: at once
+        gate.connection_lost(0.0, rng.random(), idle=False)
+        at = gate.next_dial_time(0.0, 30.0, 0, False)
         assert at is not None and at > 0
         turns.append(at)
-        assert gate.lost(0.1, rng.random(), idle=True) is None  # one deploy, one turn
+        assert gate.connection_lost(0.1, rng.random(), idle=True) is None  # one deploy, one turn
     turns.sort()
     assert turns[1900] - turns[100] > 3.5
     assert max(sum(t <= x < t + 0.1 for x in turns) for t in turns) < 2000 / 10
@@ -197,53 +197,53 @@
 
 def test_short_deadlines_are_spread_within_their_own_time() -> None:
     for draw in (0.0, 0.3, 0.999):
-        gate = Reconnect(ReconnectRules())
-        gate.lost(0.0, draw, idle=False)
-        at = gate.may_dial_at(0.0, 1.0, 0, False)
+        gate = ReconnectGate(ReconnectRules())
+        gate.connection_lost(0.0, draw, idle=False)
+        at = gate.next_dial_time(0.0, 1.0, 0, False)
         assert at is not None and 0 < at <= 1.0 and abs(at - 0.8 * draw) < 0.1
-    assert gate.may_dial_at(1.1, 1.0, 0, False) is None
+    assert gate.next_dial_time(1.1, 1.0, 0, False) is None
 
 
 def test_failures_widen_the_turns_and_a_dial_that_comes_up_ends_them() -> None:
-    gate = Reconnect(ReconnectRules())
-    gate.lost(0.0, 0.5, idle=False)
-    delays = [gate.failed(0.0, 0.999) for _ in range(30)]
+    gate = ReconnectGate(ReconnectRules())
+    gate.connection_lost(0.0, 0.5, idle=False)
+    delays = [gate.dial_failed(0.0, 0.999) for _ in range(30)]
     assert delays[0] is not None and delays[0] > 5
     assert delays[-1] is not None and delays[-1] <= 20.0
-    gate.opened(0.0)
-    assert not gate.gated
-    at = gate.may_dial_at(0.0, 10.0, 0, False)  # calls that waited together share the connection
+    gate.dial_succeeded(0.0)
+    assert not gate.is_turn_pending
+    at = gate.next_dial_time(0.0, 10.0, 0, False)  # calls that waited together share the connection
     assert at == pytest.approx(1.0)
 
 
 def test_other_routers_may_be_dialled_while_the_turn_is_awaited_if_they_are_alive() -> None:
-    gate = Reconnect(ReconnectRules())
-    gate.lost(0.0, 0.9, idle=False)
-    assert gate.may_dial_at(0.0, 10.0, 0, True) == 0.0
-    assert gate.may_dial_at(0.0, 10.0, 0, True) == pytest.approx(1.0)  # within a small rate
+    gate = ReconnectGate(ReconnectRules())
+    gate.connection_lost(0.0, 0.9, idle=False)
+    assert gate.next_dial_time(0.0, 10.0, 0, True) == 0.0
+    assert gate.next_dial_time(0.0, 10.0, 0, True) == pytest.approx(1.0)  # within a small rate
 
 
 def test_dials_that_fail_without_a_loss_keep_to_a_small_rate() -> None:
-    gate = Reconnect(ReconnectRules())
+    gate = ReconnectGate(ReconnectRules())
     at_once = 0
-    while gate.may_dial_at(0.0, 1.0, 0, False) == 0.0:
+    while gate.next_dial_time(0.0, 1.0, 0, False) == 0.0:
         at_once += 1
-        assert gate.failed(0.0, 0.5) is None
+        assert gate.dial_failed(0.0, 0.5) is None
     assert at_once == 4
 
 
 def test_lost_idle_connections_come_back_late_and_one_by_one() -> None:
-    gate = Reconnect(ReconnectRules())
-    gate.lost(0.0, 0.5, idle=True)
-    gate.lost(0.0, 0.5, idle=True)
+    gate = ReconnectGate(ReconnectRules())
+    gate.connection_lost(0.0, 0.5, idle=True)
+    gate.connection_lost(0.0, 0.5, idle=True)
     assert not gate.may_reopen(0.1)
     assert gate.turn_at is not None and gate.may_reopen(gate.turn_at)
-    gate.reopened(gate.turn_at, 0.5)
-    assert gate.owed == 1
+    gate.reopen_started(gate.turn_at, 0.5)
+    assert gate.reopens_due == 1
 
 
 def test_a_clock_that_steps_back_neither_fills_nor_empties_a_rate() -> None:
-    rate = Rate(1.0, 1)
+    rate = TokenBucket(1.0, 1)
     assert rate.take(100.0) and not rate.take(50.0) and not rate.take(50.5)
     assert rate.take(51.5)
 
@@ -254,17 +254,17 @@
 
 
 def test_subsets_are_stable_spread_and_prefer_the_own_zone() -> None:
-    mine = subset("me", FLEET, 6, "z1")
-    assert mine == subset("me", list(reversed(FLEET)), 6, "z1")
+    mine = choose_subset("me", FLEET, 6, "z1")
+    assert mine == choose_subset("me", list(reversed(FLEET)), 6, "z1")
     assert [e.zone == "z1" for e in mine] == [True] * 5 + [False]
-    without = subset("me", [e for e in FLEET if e != mine[2]], 6, "z1")
+    without = choose_subset("me", [e for e in FLEET if e != mine[2]], 6, "z1")
     assert len(set(mine) & set(without)) == 5
     counts = dict.fromkeys(FLEET, 0)
     for n in range(600):
-        for e in subset(f"c{n}", FLEET, 6, ""):
+        for e in choose_subset(f"c{n}", FLEET, 6, ""):
             counts[e] += 1
     assert min(counts.values()) > 80 and max(counts.values()) < 165  # 120 on the mean
-    assert subset("me", FLEET, 0, "") and len(subset("me", FLEET[:2], 8, "")) == 2
+    assert choose_subset("me", FLEET, 0, "") and len(choose_subset("me", FLEET[:2], 8, "")) == 2
 
 
 def picked(picker: Picker, now: float = 0.0, draws: tuple[float, float] = (0.0, 0.0), **words: object) -> str:
@@ -285,31 +285,31 @@
     assert {picked(picker, draws=(d, 0.5)) for d in (0.0, 0.6)} == {"b:1"}
     assert picked(picker, avoid={"b:1"}) == "a:1"
     assert picked(picker, paused={"b:1"}) == "a:1" and picked(picker, paused={"a:1", "b:1"}) == ""
-    picker.going(picker.routers["b:1"], 0.0)
+    picker.record_stopping(picker.routers["b:1"], 0.0)
     assert picked(picker, now=1.0) == "a:1" and picked(picker, now=2.5) == "b:1"
 
 
 def test_ejection_and_slow_readmission() -> None:
     picker = Picker("me", [Endpoint("a:1"), Endpoint("b:1")], PickRules())
     a, b = picker.routers["a:1"], picker.routers["b:1"]
-    picker.failed(a, 0.0)
-    assert picker.admits(a, 0.0)
-    picker.failed(a, 0.0)
-    assert not picker.admits(a, 0.9) and picked(picker, 0.9) == "b:1"
-    assert picker.admits(a, 1.1)
+    picker.record_failure(a, 0.0)
+    assert picker.is_admitted(a, 0.0)
+    picker.record_failure(a, 0.0)
+    assert not picker.is_admitted(a, 0.9) and picked(picker, 0.9) == "b:1"
+    assert picker.is_admitted(a, 1.1)
     a.outstanding = 1
-    assert not picker.admits(a, 1.1)  # one call at a time, at first
-    picker.answered(a)
-    assert picker.admits(a, 1.1)
-    picker.failed(a, 2.0)  # on probation one failure is enough, and costs twice the time
-    assert not picker.admits(a, 3.9) and picker.admits(b, 3.9)
+    assert not picker.is_admitted(a, 1.1)  # one call at a time, at first
+    picker.record_answer(a)
+    assert picker.is_admitted(a, 1.1)
+    picker.record_failure(a, 2.0)  # on probation one failure is enough, and costs twice the time
+    assert not picker.is_admitted(a, 3.9) and picker.is_admitted(b, 3.9)
     a.outstanding = 0
     for _ in range(9):
-        picker.answered(a)
-    assert a.allowance is None and a.ejections == 0
+        picker.record_answer(a)
+    assert a.max_outstanding is None and a.ejections == 0
     for router in (a, b):
-        picker.failed(router, 5.0)
-        picker.failed(router, 5.0)
+        picker.record_failure(router, 5.0)
+        picker.record_failure(router, 5.0)
     assert picked(picker, 5.1) in ("a:1", "b:1")  # rather one of them than nobody
 
 
@@ -325,10 +325,10 @@
 
 @given(st.lists(st.sampled_from([b"data: x\n\n", b": c\r\n\r\n", b"id: 1\ndata: y\n\n"])), st.integers(1, 9))
 def test_events_are_cut_whole_and_unchanged(events: list[bytes], size: int) -> None:
-    cutter, data, got = EventCutter(100), b"".join(events), []
+    splitter, data, got = EventSplitter(100), b"".join(events), []
     for start in range(0, len(data), size):
-        got += cutter.feed(data[start : start + size])
-    assert b"".join(got) + cutter.rest() == data and len(got) == len(events)
+        got += splitter.feed(data[start : start + size])
+    assert b"".join(got) + splitter.take_rest() == data and len(got) == len(events)
 
 
 @pytest.mark.parametrize(
