--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -211,7 +211,7 @@
                 continue
             connection = pool.take_idle(router.address)
             if (
-                connection is None and pool.reconnect_gate.is_turn_pending
+                connection is None and pool.reconnect_gate.is_backing_off
             ):  # rather a line that is there than a dial
                 for other in sorted(picker.routers.values(), key=lambda r: r.outstanding):
                     if other is router or is_paused(other) or not picker.is_admitted(other, now):
--- a/sorreldock/client/policy/__init__.py
+++ b/sorreldock/client/policy/__init__.py
@@ -1,5 +1,5 @@
-"""The client's decisions: no I/O, no clock and no randomness of their own.
+"""The client's decisions, without I/O, a clock or randomness of their own.
 
-Times are seconds on one monotonic clock whose reading is an argument; a draw is a float from [0, 1) that
-the caller has made. Nothing here sleeps, sends or reads.
+Times are in seconds on one monotonic clock, whose reading is passed as an argument. A draw is a random float
+from [0, 1) that the caller provides. Nothing in this package sleeps, sends or reads.
 """
--- a/sorreldock/client/policy/deadline.py
+++ b/sorreldock/client/policy/deadline.py
@@ -1,4 +1,4 @@
-"""The caller's one deadline, and what of it is told to a router."""
+"""The single deadline of a call, and the part of it that is passed on to a router."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class DurationEstimate:
-    """The time that the way to one router and back takes, learned from dials (RFC 6298's smoothing).
+    """An estimate of how long something takes, learned from samples with the smoothing of RFC 6298.
 
-    A dial takes one round trip, so its duration is a sample. The estimate is the smoothed round trip and
-    twice its deviation, within `longest_s`: one dial that a lost packet held up for seconds must not eat
-    every later deadline.
+    For the round trip to a router the samples are the durations of dials, since a dial takes one round trip.
+    The estimate is the smoothed duration plus twice its deviation, bounded by `max_s`: a single dial that a
+    lost packet delayed by seconds must not use up every later deadline.
     """
 
     ALPHA, BETA = 1 / 8, 1 / 4
@@ -22,7 +22,7 @@
         self._has_samples = False
 
     def add_sample(self, sample_s: float) -> None:
-        """Take a sample, in seconds. Negative ones (a clock that stepped back) are none."""
+        """Add a sample in seconds; negative and non-finite ones (a clock that stepped back) are ignored."""
         if not 0.0 <= sample_s < float("inf"):
             return
         if not self._has_samples:
@@ -33,27 +33,29 @@
 
     @property
     def estimate_s(self) -> float:
-        """There and back, in seconds; 0 while nothing has been learned."""
+        """The estimated duration in seconds; 0 before the first sample."""
         return min(self._smoothed + 2 * self._deviation, self._max_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Deadline:
-    """One moment for a whole call: dialling, waiting and retries together."""
+    """The moment by which a call's first event is due, with dialling, waiting and retries included."""
 
     at: float
-    min_s: float = 0.005  # what a router needs at the very least; with less left nothing is sent
+    min_s: float = 0.005  # the least time a router needs; nothing is sent when less remains
 
     def remaining_s(self, now: float) -> float:
         return self.at - now
 
     def time_to_send(self, now: float, round_trip_s: float) -> float | None:
-        """What to write as `X-Expires-In` or `grpc-timeout`, in seconds: what is left, less the way. None
-        when a request written now can't be answered in time any more, and must not be sent.
+        """Return the seconds to send as `X-Expires-In` or `grpc-timeout`, or None if too few are left.
+
+        They are the remaining time less the round trip. None means that a request written now can't be
+        answered in time any more and must not be sent.
         """
         remaining_s = self.at - now - round_trip_s
         return remaining_s if remaining_s >= self.min_s else None
 
     def can_send_at(self, moment: float, round_trip_s: float = 0.0) -> bool:
-        """Whether a request written at this moment could still be in time."""
+        """Return whether a request written at this moment could still be answered in time."""
         return self.time_to_send(moment, round_trip_s) is not None
--- a/sorreldock/client/policy/outcome.py
+++ b/sorreldock/client/policy/outcome.py
@@ -1,4 +1,4 @@
-"""What an attempt came to, as the decisions see it."""
+"""The outcome of an attempt, as the client's decisions use it."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class OutcomeKind(Enum):
-    """How an attempt ended before its first event."""
+    """The kinds of outcome of an attempt that ended before its first event."""
 
-    REFUSED = "refused"  # the router's word: trying again is harmless
+    REFUSED = "refused"  # the router turned it away and says that a retry is harmless
     NEVER_RAN = "never ran"  # no router can have read the whole request
     MAY_HAVE_RUN = "may have run"
-    EXPIRED = "expired"  # the router's word that the deadline has passed
-    INVALID_REQUEST = "at fault"  # the request itself: another router would say the same
+    EXPIRED = "expired"  # the router says that the deadline has passed
+    INVALID_REQUEST = "invalid request"  # the request itself is wrong: another router would reject it as well
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of one attempt."""
+    """The result of one attempt that ended before its first event."""
 
     kind: OutcomeKind
     cause: str
-    retry_after_s: float | None = None  # the router's: come again in so many seconds
-    retry_forbidden: bool = False  # the router's: do not come again (gRPC A6, a negative pushback)
-    stale: bool = False  # a kept connection had ended, and the request was not read from it
-    begun: bool = False  # the head of an answer had come
+    retry_after_s: float | None = None  # the delay that the router advises before a retry
+    retry_forbidden: bool = False  # the router forbids a retry (gRFC A6, a negative pushback)
+    stale: bool = False  # the request went to a kept connection that ended without the router reading it
+    begun: bool = False  # the head of an answer had arrived
     router_fault: bool = False  # counts towards the router's ejection
 
     @property
--- a/sorreldock/client/policy/picker.py
+++ b/sorreldock/client/policy/picker.py
@@ -1,9 +1,9 @@
-"""Which router gets a request: a subset of the fleet, least outstanding of two within it, ejection.
+"""Load balancing over routers: subsetting, power of two choices by outstanding calls, and ejection.
 
-The subset is drawn by rendezvous hashing of the client's name with each router's address (highest random
-weight, Thaler and Ravishankar 1998): the same client always gets the same routers, different clients
-different ones, and a router that comes or goes changes only the subsets that it is in. Routers of the
-client's own zone come first in it.
+The subset is chosen by rendezvous hashing of the client's name with each router's address (highest random
+weight, Thaler and Ravishankar 1998): a client always gets the same routers, different clients get different
+ones, and a router that is added or removed changes only the subsets that contain it. Routers of the client's
+own zone come first in the subset.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A router: `host:port`, and its zone, if the caller knows it."""
+    """A router's address, `host:port`, and its zone ("" if unknown)."""
 
     address: str
     zone: str = ""
@@ -25,27 +25,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PickRules:
-    """Limits for choosing and ejecting routers."""
+    """Limits for choosing and ejecting routers; times in seconds."""
 
-    subset: int = 8
-    eject_after: int = 2  # failures in a row
-    eject_s: float = 1.0  # doubles with each ejection
+    subset: int = 8  # the number of routers a client uses; 0 for all
+    eject_after: int = 2  # consecutive failures
+    eject_s: float = 1.0  # of the first ejection; doubles with each further one
     longest_eject_s: float = 30.0
-    going_s: float = 2.0  # a router that said it stops is the last choice for so long
+    going_s: float = 2.0  # how long a router that announced its stop is the last choice
 
 
 @dataclass
 class Router:
-    """What the client knows of one router."""
+    """The client's record of one router."""
 
     endpoint: Endpoint
     outstanding: int = 0
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive
     ejections: int = 0
     ejected_until: float = 0.0
-    max_outstanding: int | None = (
-        None  # after an ejection: calls at once, doubled with each answer; None: all
-    )
+    max_outstanding: int | None = None  # limit after an ejection, doubled with each answer; None: no limit
     stopping_until: float = 0.0
     round_trip: DurationEstimate = field(default_factory=DurationEstimate)
 
@@ -55,26 +53,28 @@
 
 
 def rendezvous_weight(client: str, address: str) -> int:
+    """Return the weight of a router for this client, a hash of both; the highest weights are chosen."""
     return int.from_bytes(hashlib.blake2b(f"{client}\0{address}".encode(), digest_size=8).digest(), "big")
 
 
 def choose_subset(client: str, endpoints: Iterable[Endpoint], size: int, zone: str) -> list[Endpoint]:
-    """This client's routers, own zone first, each group by falling weight. At most half of the places (but at
-    least one, where there are two or more) go to other zones when the own one could fill them all, so that a
-    zone that goes dark does not take the whole subset with it.
+    """Return the routers of this client, own zone first, each group in descending order of weight.
+
+    When the own zone could fill all places of a subset of two or more, one place still goes to another zone,
+    so that the failure of a zone does not take the whole subset with it. A size of 0 or less means all.
     """
     ranked = sorted(set(endpoints), key=lambda e: (-rendezvous_weight(client, e.address), e.address))
     own = [e for e in ranked if zone and e.zone == zone]
     others = [e for e in ranked if not (zone and e.zone == zone)]
     if size <= 0 or size >= len(ranked):
         return own + others
-    spare = min(len(others), 1 if own and size > 1 else 0)
-    chosen = own[: size - spare]
+    other_zone_places = min(len(others), 1 if own and size > 1 else 0)
+    chosen = own[: size - other_zone_places]
     return chosen + others[: size - len(chosen)]
 
 
 class Picker:
-    """Chooses the router for each attempt."""
+    """The choice of a router for each attempt, and the record of what the attempts showed."""
 
     def __init__(self, client: str, endpoints: Iterable[Endpoint], rules: PickRules, zone: str = "") -> None:
         self.client, self.rules, self.zone = client, rules, zone
@@ -82,19 +82,23 @@
         self.update(endpoints)
 
     def update(self, endpoints: Iterable[Endpoint]) -> list[str]:
-        """Take a new list. What is known of routers that stay is kept; returns the addresses that left."""
+        """Replace the list of routers and return the addresses that left the subset.
+
+        Records of routers that stay are kept.
+        """
         chosen = {e.address: e for e in choose_subset(self.client, endpoints, self.rules.subset, self.zone)}
-        left = [address for address in self.routers if address not in chosen]
-        for address in left:
+        removed = [address for address in self.routers if address not in chosen]
+        for address in removed:
             del self.routers[address]
         for address, endpoint in chosen.items():
             if address in self.routers:
                 self.routers[address].endpoint = endpoint
             else:
                 self.routers[address] = Router(endpoint)
-        return left
+        return removed
 
     def is_admitted(self, router: Router, now: float) -> bool:
+        """Return whether the router is not ejected and its limit after an ejection leaves room for a call."""
         if router.ejected_until > now:
             return False
         return router.max_outstanding is None or router.outstanding < router.max_outstanding
@@ -107,16 +111,16 @@
         is_connected: Callable[[Router], bool],
         avoid: Iterable[str] = (),
     ) -> Router | None:
-        """The router for an attempt; None when each that is left has asked for a pause.
+        """Return the router for an attempt, or None if every router has asked for a pause.
 
-        Tiers, the best that holds any router: not ejected before ejected (with all of them ejected, the one
-        whose time ends first: a client that asks nobody learns nothing), not avoided, not about to stop,
-        own zone. Within the tier, of two drawn the one with fewer calls out; of equals the one that needs
-        no dial.
+        Routers are ranked in tiers, and the best non-empty tier is used: not ejected before ejected, then not
+        avoided, not about to stop, own zone. If all are ejected, the one whose ejection ends first is used,
+        since a client that sends to no router can't learn that one has recovered. Within the tier two routers
+        are drawn; the one with fewer outstanding calls is used, or of equals the one that needs no dial.
         """
         avoided = set(avoid)
-        able = [r for r in self.routers.values() if not is_paused(r)]
-        if not able:
+        candidates = [r for r in self.routers.values() if not is_paused(r)]
+        if not candidates:
             return None
 
         def tier(r: Router) -> tuple[bool, bool, bool, bool]:
@@ -127,8 +131,8 @@
                 bool(self.zone) and r.endpoint.zone != self.zone,
             )
 
-        best = min(tier(r) for r in able)
-        tied = [r for r in able if tier(r) == best]
+        best = min(tier(r) for r in candidates)
+        tied = [r for r in candidates if tier(r) == best]
         if best[0]:
             return min(tied, key=lambda r: (r.ejected_until, r.outstanding, r.address))
         if len(tied) == 1:
@@ -138,10 +142,10 @@
         pair = (tied[first], tied[second + (second >= first)])
         return min(pair, key=lambda r: (r.outstanding, not is_connected(r)))
 
-    # What attempts came to.
+    # Results of attempts.
 
     def record_answer(self, router: Router) -> None:
-        """It spoke, if only to refuse: it is alive."""
+        """Record that the router answered; a refusal counts too, since it shows that the router is alive."""
         router.failures = 0
         if router.max_outstanding is not None:
             router.max_outstanding *= 2
@@ -149,15 +153,16 @@
                 router.max_outstanding, router.ejections = None, 0
 
     def record_failure(self, router: Router, now: float) -> None:
+        """Record a failure of the router, and eject it after enough of them, or one on probation."""
         router.failures += 1
         if router.failures < self.rules.eject_after and router.max_outstanding is None:
             return
-        pause = min(self.rules.eject_s * 2 ** min(router.ejections, 16), self.rules.longest_eject_s)
-        router.ejected_until = now + pause
+        eject_s = min(self.rules.eject_s * 2 ** min(router.ejections, 16), self.rules.longest_eject_s)
+        router.ejected_until = now + eject_s
         router.ejections += 1
         router.failures = 0
         router.max_outstanding = 1
 
     def record_stopping(self, router: Router, now: float) -> None:
-        """It said that it stops (`Connection: close`, GOAWAY)."""
+        """Record that the router announced its stop (`Connection: close` or GOAWAY)."""
         router.stopping_until = now + self.rules.going_s
--- a/sorreldock/client/policy/reconnect.py
+++ b/sorreldock/client/policy/reconnect.py
@@ -1,42 +1,41 @@
-"""When a connection may be opened: at once within a small rate, and after a loss in a jittered turn.
-
-A deploy ends the connections of every client within one second. Nobody tells the clients of each other, so
-each draws its own moment: after a loss (a connection that the router ended, or said it would end, between
-answers) the next dial waits for a *turn*, drawn with decorrelated jitter (AWS's `min(cap, uniform(base, 3 *
-previous))`), which widens with each dial that fails (a quarter each: no single draw may cost a call its
-deadline). A dial that fails without a loss before it (a router that was never there) costs a token of a
-small rate instead, and the call goes on to another router at once.
+"""Limits on when connections are opened: a small rate of dials, and a jittered backoff after a loss.
+
+A deploy ends the connections of every client within one second. The clients don't know of each other, so
+each draws its own backoff: after a loss (a connection that the router ended between answers, or announced to
+end) the next dial waits for a delay drawn with decorrelated jitter (AWS's `min(cap, uniform(base, 3 *
+previous))`). Its window widens by a quarter with each dial that fails, so little that no single draw costs a
+call its deadline. A dial that fails without a loss before it (to a router that was never reachable) takes a
+token of a small rate instead, and the call goes on to another router at once.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-TURN_DEADLINE_SHARE = (
-    0.8  # of a request's time, which a turn may take: calls that share the connection need the rest
-)
+# The share of a request's time that a backoff may take. Calls that share the connection need the rest.
+BACKOFF_DEADLINE_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class ReconnectRules:
-    """Delays and rates of reconnection."""
+    """Delays and rates of reconnection; times in seconds, rates in dials per second."""
 
-    base_s: float = 0.05  # the least delay of a turn
-    first_window_s: float = 5.0  # the first turn after a loss lies within this
-    widen: float = 1.25  # with each dial that fails
+    base_s: float = 0.05  # the least delay of a backoff
+    first_window_s: float = 5.0  # the first backoff after a loss ends within this
+    widen: float = 1.25  # the window's factor for each dial that fails
     cap_s: float = 20.0
-    calm_rate_per_s: float = 64.0  # dials while nothing has been lost or has failed: refill, and the most
+    calm_rate_per_s: float = 64.0  # refill of the dial bucket with no recent loss or failure
     calm_burst: int = 64
-    rate_per_s: float = 1.0  # the same for `settle_s` after a loss, from the dial on that had its turn
+    rate_per_s: float = 1.0  # the same for `settle_s` after a loss, once the dial after the backoff is up
     burst: int = 1
-    failed_rate_per_s: float = 0.5  # and while dials fail
+    failed_rate_per_s: float = 0.5  # the same while dials fail
     failed_burst: int = 3
     settle_s: float = 10.0
-    forget_s: float = 60.0  # without a failure or loss: the jitter begins anew
+    forget_s: float = 60.0  # after so long without a failure or loss the jitter starts anew
 
 
 class TokenBucket:
-    """A token bucket on the caller's clock; a clock that steps back adds nothing and takes nothing."""
+    """A token bucket on the caller's clock; a clock that steps back neither adds nor removes tokens."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate_per_s, self._burst = rate_per_s, burst
@@ -49,6 +48,7 @@
         self._filled_at = now
 
     def take(self, now: float) -> bool:
+        """Take a token; return False, and take none, if less than one is left."""
         self._fill(now)
         if self._tokens < 1.0:
             return False
@@ -59,22 +59,22 @@
         self._tokens, self._filled_at = 0.0, now
 
     def wait_s(self, now: float) -> float:
-        """Seconds until a token is there."""
+        """Return the seconds until a token is available."""
         self._fill(now)
         return 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) / self._rate_per_s
 
 
 class ReconnectGate:
-    """The gate that every dial of a client passes."""
+    """The limit that every dial of a client is subject to: one backoff, and rates outside of it."""
 
     def __init__(self, rules: ReconnectRules) -> None:
         self.rules = rules
-        self.turn_at: float | None = None  # set while a loss has not been followed by a dial that came up
-        self.turn_drawn_at: float = 0.0  # when it was drawn
+        self.backoff_until: float | None = None  # set from a loss until the next dial that succeeds
+        self.backoff_drawn_at: float = 0.0
         self.failed_dials = 0
-        self.reopens_due = 0  # idle connections that were lost, to be opened again one by one
+        self.reopens_due = 0  # lost idle connections to open again, one by one
         self._previous_delay_s = rules.first_window_s / 3
-        self._window_s = rules.first_window_s  # that the present turn was drawn from
+        self._window_s = rules.first_window_s  # that the present backoff was drawn from
         self._last_drawn_at: float | None = None
         self._steady_bucket = TokenBucket(rules.calm_rate_per_s, rules.calm_burst)
         self._settling_bucket = TokenBucket(rules.rate_per_s, rules.burst)
@@ -82,8 +82,8 @@
         self._is_failing = False
 
     @property
-    def is_turn_pending(self) -> bool:
-        return self.turn_at is not None
+    def is_backing_off(self) -> bool:
+        return self.backoff_until is not None
 
     def _draw(self, now: float, draw: float) -> float:
         rules = self.rules
@@ -93,43 +93,47 @@
         widest_s = rules.first_window_s * rules.widen ** min(self.failed_dials, 40)
         self._window_s = min(rules.cap_s, widest_s, 3 * self._previous_delay_s)
         delay_s = rules.base_s + draw * max(self._window_s - rules.base_s, 0.0)
-        # The window never narrows below the first: a small draw must not make the next ones small as well.
+        # The window never becomes narrower than the first: a small draw must not make the next ones small.
         self._previous_delay_s = max(delay_s, rules.first_window_s / 3)
         return delay_s
 
     def connection_lost(self, now: float, draw: float, idle: bool) -> float | None:
-        """The router has ended a connection, or has said that it will. Returns the delay of the turn in
-        seconds; None when a turn is drawn already, since one deploy is one reason to wait.
+        """Start a backoff after a router ended a connection, or announced to end it.
+
+        Returns the delay in seconds, or None during a backoff: the losses of one deploy are one reason to
+        wait. An `idle` connection is noted, to be opened again later.
         """
         if idle:
             self.reopens_due = min(self.reopens_due + 1, 2)
-        if self.turn_at is not None:
+        if self.backoff_until is not None:
             return None
         delay_s = self._draw(now, draw)
-        self.turn_at, self.turn_drawn_at = now + delay_s, now
+        self.backoff_until, self.backoff_drawn_at = now + delay_s, now
         return delay_s
 
     def dial_failed(self, now: float, draw: float) -> float | None:
-        """A dial has failed. After a loss the next turn is drawn, wider; returns its delay."""
+        """Record a failed dial; in a backoff, draw the next one, wider, and return its delay in seconds."""
         self.failed_dials += 1
         self._is_failing = True
-        if self.turn_at is None:
+        if self.backoff_until is None:
             return None
         self._previous_delay_s = max(
             self._previous_delay_s,
             self.rules.first_window_s * self.rules.widen ** min(self.failed_dials, 40) / 3,
         )
         delay_s = self._draw(now, draw)
-        self.turn_at, self.turn_drawn_at = now + delay_s, now
+        self.backoff_until, self.backoff_drawn_at = now + delay_s, now
         return delay_s
 
     def dial_succeeded(self, now: float) -> None:
-        """A dial has come up: the gate opens, and what else is to be dialled keeps to the rate, from now on:
-        calls that waited for the turn together share its connection rather than bring one each.
+        """Record a successful dial, which ends the backoff.
+
+        Further dials keep to the rate after a loss, with no token at first: calls that waited for the backoff
+        together share the new connection rather than open one each.
         """
-        if self.turn_at is not None:
+        if self.backoff_until is not None:
             self._settling_bucket.empty(now)
-        self.turn_at = None
+        self.backoff_until = None
         self.failed_dials = 0
         self._is_failing = False
         self._previous_delay_s = self.rules.first_window_s / 3
@@ -137,51 +141,59 @@
     def next_dial_time(
         self, now: float, latest: float, dialling: int, has_live_connection: bool
     ) -> float | None:
-        """The moment at which a request in hand may dial a router; None if none is left before `latest`,
-        its last useful one. `now` means at once, and takes a token.
-
-        `dialling` counts the client's dials under way, and `alive` says that it holds a connection to this
-        router which has not been told to end: a turn does not bind such a router. While a turn is awaited
-        one dial alone goes, and a request whose deadline is nearer than the turn takes its place at the
-        same share of four fifths of its own time: a crowd of short deadlines is spread as well, and the
-        last still leave room for the answer.
+        """Return the moment at which a waiting request may dial a router, or None if `latest` comes first.
+
+        `latest` is the last moment at which a dial is still useful. A result of `now` means at once and,
+        where no backoff applies, takes a token. `dialling` is the number of the client's dials in progress.
+        `has_live_connection` says that the client holds a connection to this router that the router has not
+        announced to end; the backoff does not apply to such a router.
+
+        During a backoff only one dial is made at a time. A request whose deadline is too near for the backoff
+        dials at the same relative place within four fifths of its own time: so many requests with short
+        deadlines are spread as well, and the last of them still have time for the answer.
         """
         if now > latest:
             return None
-        if self.turn_at is not None and not has_live_connection:
+        if self.backoff_until is not None and not has_live_connection:
             if dialling:
                 return min(now + self.rules.base_s, latest)
-            at = self.turn_at
-            time_left_s = max(latest - self.turn_drawn_at, 0.0)
-            if at > self.turn_drawn_at + TURN_DEADLINE_SHARE * time_left_s:
-                share = (at - self.turn_drawn_at) / max(self._window_s, 1e-9)
-                at = self.turn_drawn_at + TURN_DEADLINE_SHARE * min(share, 1.0) * time_left_s
-                if self.failed_dials:  # a deadline that nears is no reason to knock ever faster
-                    at = max(at, self.turn_drawn_at + min(0.1 * 2**self.failed_dials, 0.4))
-                    if at > latest:
+            dial_at = self.backoff_until
+            time_left_s = max(latest - self.backoff_drawn_at, 0.0)
+            if dial_at > self.backoff_drawn_at + BACKOFF_DEADLINE_SHARE * time_left_s:
+                share = (dial_at - self.backoff_drawn_at) / max(self._window_s, 1e-9)
+                dial_at = self.backoff_drawn_at + BACKOFF_DEADLINE_SHARE * min(share, 1.0) * time_left_s
+                if self.failed_dials:  # an approaching deadline must not make dials ever more frequent
+                    dial_at = max(dial_at, self.backoff_drawn_at + min(0.1 * 2**self.failed_dials, 0.4))
+                    if dial_at > latest:
                         if time_left_s < 0.1:
                             return None
-                        at = self.turn_drawn_at + 0.9 * time_left_s
-            return max(at, now)
+                        dial_at = self.backoff_drawn_at + 0.9 * time_left_s
+            return max(dial_at, now)
         bucket = self._bucket(now)
         if bucket.take(now):
             return now
-        at = now + bucket.wait_s(now)
-        return at if at <= latest else None
+        dial_at = now + bucket.wait_s(now)
+        return dial_at if dial_at <= latest else None
 
     def _bucket(self, now: float) -> TokenBucket:
         if self._is_failing:
             return self._failing_bucket
-        unsettled = self._last_drawn_at is not None and 0 <= now - self._last_drawn_at < self.rules.settle_s
-        return self._settling_bucket if unsettled else self._steady_bucket
+        is_settling = self._last_drawn_at is not None and 0 <= now - self._last_drawn_at < self.rules.settle_s
+        return self._settling_bucket if is_settling else self._steady_bucket
 
     def may_reopen(self, now: float) -> bool:
-        """Whether the next idle connection that was lost may be opened again, in nobody's hand."""
-        if not self.reopens_due or (self.turn_at is not None and now < self.turn_at):
+        """Return whether a lost idle connection may be opened again now, without a request that needs it.
+
+        Takes a token outside of a backoff.
+        """
+        if not self.reopens_due or (self.backoff_until is not None and now < self.backoff_until):
             return False
-        return self.turn_at is not None or self._bucket(now).take(now)
+        return self.backoff_until is not None or self._bucket(now).take(now)
 
     def reopen_started(self, now: float, draw: float) -> float:
-        """One was; the next waits for a turn of its own, which holds up no request. Returns its delay."""
+        """Record that a lost idle connection is being opened again, and return a drawn delay in seconds.
+
+        The delay sets no backoff and so holds up no request; dials keep to the rate after a loss.
+        """
         self.reopens_due = max(self.reopens_due - 1, 0)
         return self._draw(now, draw)
--- a/sorreldock/client/policy/refusal.py
+++ b/sorreldock/client/policy/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals: the router's advice, and the pauses that it asks for."""
+"""Refusals: the retry advice of routers, and the pauses that it imposes on other calls."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def parse_retry_after(text: str | None, wall_s: float) -> float | None:
-    """The seconds that a `Retry-After` asks for (RFC 9110 10.2.3, and decimals as the platform writes
-    them), or None for no advice. `wall_s` is Unix time, which only a date needs; a date that has passed is
-    0. A negative number, or what is none at all, is no advice.
+    """Return the delay in seconds that a `Retry-After` value asks for, or None if it holds no advice.
+
+    Takes the forms of RFC 9110 10.2.3 and the decimal fractions that the platform writes. `wall_s` is Unix
+    time, used for dates alone; a date in the past gives 0. A negative number or any other text is no advice.
     """
     text = (text or "").strip()
     if DECIMAL.fullmatch(text):
@@ -28,8 +29,9 @@
 
 
 def parse_pushback(text: str | None) -> tuple[float | None, bool]:
-    """What `grpc-retry-pushback-ms` asks for: seconds or None, and whether it forbids a retry, as a negative
-    or unreadable value does (gRFC A6).
+    """Return the delay in seconds (or None) of a `grpc-retry-pushback-ms`, and whether it forbids a retry.
+
+    A negative or malformed value forbids a retry (gRFC A6).
     """
     if text is None:
         return None, False
@@ -41,9 +43,10 @@
 def retry_time(
     now: float, advice_s: float, draw: float, latest: float, min_jitter_s: float = 0.05
 ) -> float | None:
-    """The moment at which a refused request comes back: after the advised one, never before, spread over half
-    as long again; None if the advised moment is past `latest`, the last one that would be in time. The spread
-    narrows rather than miss `latest`.
+    """Return the moment at which to retry a refused request, or None if the advised moment is past `latest`.
+
+    It is never before the advised moment, and is spread over half the advised delay (at least
+    `min_jitter_s`) after it. `latest` is the last moment that is in time; the spread is cut to it.
     """
     advised = now + advice_s
     if advised > latest:
@@ -52,12 +55,10 @@
 
 
 class Pauses:
-    """The pauses that routers have asked for, by router and class; other calls of the client keep them
-    too.
-    """
+    """The pauses that routers have asked for, by router and class, which all calls of the client observe."""
 
     def __init__(self, max_pause_s: float = 60.0, max_entries: int = 4096) -> None:
-        self._max_pause_s = max_pause_s  # bounds what a date, and a wall clock that is off, may ask for
+        self._max_pause_s = max_pause_s  # bounds the effect of a date far ahead or a wrong wall clock
         self._max_entries = max_entries
         self._until: dict[tuple[str, str], float] = {}
 
@@ -65,7 +66,7 @@
         return len(self._until)
 
     def add(self, router: str, rpc_class: str, now: float, advice_s: float) -> None:
-        """A later end counts; an earlier one does not shorten a pause that is on."""
+        """Add a pause; an earlier end does not shorten a pause in progress."""
         self._expire(now)
         if advice_s <= 0 or (
             len(self._until) >= self._max_entries and (router, rpc_class) not in self._until
@@ -76,13 +77,15 @@
         self._until[key] = max(until, self._until.get(key, until))
 
     def remaining_s(self, router: str, rpc_class: str, now: float) -> float:
-        """Seconds until the router may be asked for this class; 0 when it may now. Bounded by the longest
-        pause, so that a clock that stepped back does not make one endless.
+        """Return the seconds until requests of this class may be sent to the router; 0 for now.
+
+        Bounded by the maximum pause, so that a clock that stepped back does not make a pause endless.
         """
         until = self._until.get((router, rpc_class), now)
         return min(max(until - now, 0.0), self._max_pause_s)
 
     def forget(self, router: str) -> None:
+        """Remove all pauses of a router."""
         self._until = {k: v for k, v in self._until.items() if k[0] != router}
 
     def _expire(self, now: float) -> None:
--- a/sorreldock/client/policy/retry.py
+++ b/sorreldock/client/policy/retry.py
@@ -1,4 +1,4 @@
-"""Whether an attempt is followed by another: only what is safe, and under a budget."""
+"""The decision whether another attempt follows: only where it is safe, and within a retry budget."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class RetryBudget:
-    """A token bucket for the whole client, filled by first sends (Finagle's RetryBudget, gRFC A6's
-    throttle).
+    """A token bucket for the retries of a whole client, filled by first sends.
 
-    Each first send adds `share` of a token, up to `most`; each retry takes one. `reserve` tokens are there
-    at the start, so that a client that has sent one request may repeat it. No clock fills it: what a client
-    may repeat depends on what it has sent, and a test can say how much that is (`limit`).
+    It resembles Finagle's RetryBudget and the retry throttle of gRFC A6. Each first send adds `share` of a
+    token, up to `max_tokens`; each retry takes one. `reserve` tokens are present at the start, so that a
+    client may retry its first request. No clock fills the bucket: the number of retries depends only on the
+    number of first sends, so a test can compute its bound (`limit`).
     """
 
     def __init__(self, share: float = 0.2, reserve: float = 3.0, max_tokens: float = 10.0) -> None:
@@ -35,7 +35,7 @@
         return self._tokens >= 1.0 - 1e-9
 
     def take(self) -> bool:
-        """Take the token of one retry; False when the budget is spent."""
+        """Take the token for one retry; return False, and take none, when the budget is spent."""
         if not self.has_token:
             return False
         self._tokens -= 1.0
@@ -43,40 +43,40 @@
         return True
 
     def refund(self) -> None:
-        """Give back the token of a retry that was never sent."""
+        """Return the token of a retry that was never sent."""
         self._tokens = min(self._tokens + 1.0, self.max_tokens)
         self.retries -= 1
 
     @property
     def limit(self) -> int:
-        """The most retries that these first sends could ever have bought."""
+        """The maximum number of retries that the first sends so far could have allowed."""
         return int(self.reserve + self.share * self.first_sends + 1e-9)
 
 
 class NextStep(Enum):
-    """What follows an attempt."""
+    """The step that follows an attempt."""
 
     GIVE_UP = "give up"
-    RETRY = "retry"  # marked, counted, a token of the budget
-    RESEND = "resend"  # on another connection: no router has read it
+    RETRY = "retry"  # marked on the wire, counted, and charged to the retry budget
+    RESEND = "resend"  # on another connection, since no router has read the request
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What follows an attempt, and after which pause."""
+    """The step that follows an attempt, its earliest moment, and the reason for giving up."""
 
     next_step: NextStep
-    at: float = 0.0  # not before this moment
+    at: float = 0.0
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryRules:
-    """Limits for retries."""
+    """The rules that decide about retries."""
 
     max_retries: int = 1
     safe_classes: Collection[str] = ()
-    pause_s: float = 0.25  # after a refusal without advice, or a failure: this, and up to twice as long again
+    pause_s: float = 0.25  # after a failure or a refusal without advice: 1 to 3 times this, drawn
 
     def after(
         self,
@@ -91,8 +91,9 @@
         round_trip_s: float,
         draw: float,
     ) -> Decision:
-        """What follows this outcome of a call that has been retried and resent so often. Takes no token;
-        the caller does, and gives it back should the retry never be sent.
+        """Decide what follows this outcome of a call that has had `retries` retries and `resends` resends.
+
+        Takes no token of the budget; the caller does, and returns it if the retry is never sent.
         """
         if outcome.kind is OutcomeKind.INVALID_REQUEST:
             return Decision(NextStep.GIVE_UP, reason="the request is at fault")
@@ -114,7 +115,7 @@
             if at is None:
                 return Decision(NextStep.GIVE_UP, reason="the advised moment is past the deadline")
             return Decision(NextStep.RETRY, at)
-        if outcome.kind is OutcomeKind.NEVER_RAN:  # elsewhere at once; dials have a rate of their own
+        if outcome.kind is OutcomeKind.NEVER_RAN:  # at once, on another router; dials are limited elsewhere
             return Decision(NextStep.RETRY, now)
         at = now + self.pause_s * (1.0 + 2.0 * draw)
         if at > latest:
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -211,7 +211,7 @@
     assert delays[0] is not None and delays[0] > 5
     assert delays[-1] is not None and delays[-1] <= 20.0
     gate.dial_succeeded(0.0)
-    assert not gate.is_turn_pending
+    assert not gate.is_backing_off
     at = gate.next_dial_time(0.0, 10.0, 0, False)  # calls that waited together share the connection
     assert at == pytest.approx(1.0)
 
@@ -237,8 +237,8 @@
     gate.connection_lost(0.0, 0.5, idle=True)
     gate.connection_lost(0.0, 0.5, idle=True)
     assert not gate.may_reopen(0.1)
-    assert gate.turn_at is not None and gate.may_reopen(gate.turn_at)
-    gate.reopen_started(gate.turn_at, 0.5)
+    assert gate.backoff_until is not None and gate.may_reopen(gate.backoff_until)
+    gate.reopen_started(gate.backoff_until, 0.5)
     assert gate.reopens_due == 1
 
 
