--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -1,4 +1,4 @@
-"""One call: its attempts, one after the other, until an answer has begun or the call is given up."""
+"""One call: its attempts, one after the other, until an answer begins or the call is given up."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 @dataclass
 class Shared:
-    """What the calls of one client have in common."""
+    """The objects that all calls of one client share."""
 
     settings: ClientSettings
     picker: Picker
     pool: Pool
     pauses: Pauses
     budget: RetryBudget
-    answer_time: DurationEstimate  # from a request's last byte to the first event, learned
+    answer_time: DurationEstimate  # from a request's last byte to the first event
     rules: RetryRules
     stats: Stats
     rng: random.Random
 
 
 class Call:
-    """Tries until the first event. One attempt at a time: the one before is closed first, always."""
+    """The attempts of one call up to its first event, each closed before the next one starts."""
 
     def __init__(self, shared: Shared, request: Request, deadline: Deadline) -> None:
         self.shared, self.request, self.deadline = shared, request, deadline
@@ -44,15 +44,15 @@
         self.router = ""
         self.trace_ids: list[str] = []
         self.exchange: Exchange | None = None
-        self._router: Router | None = None  # its `outstanding` counts this call
+        self._router_record: Router | None = None  # its `outstanding` counts this call
         self._connection: Connection | None = None
         self._last_outcome: Outcome | None = None
         self._avoided: set[str] = set()
-        self._earlier_may_have_run = False  # an earlier attempt may have
-        self._unspent_token = False  # of the budget, taken for a retry that is not sent yet
+        self._earlier_may_have_run = False  # whether the server may have run an earlier attempt
+        self._unspent_token = False  # whether a budget token is taken for a retry that is not sent yet
 
     async def begin(self, body: bytes, resumed: bool = False) -> bytes | None:
-        """The first event, or None for a whole answer without one; or the error to raise."""
+        """Return the first event, or None for a complete answer without one; raise the call's error."""
         try:
             with anyio.move_on_after(max(self.deadline.at - anyio.current_time(), 0.0)):
                 return await self._run_attempts(body, resumed)
@@ -64,7 +64,7 @@
 
     @property
     def _is_attempt_open(self) -> bool:
-        """Whether the attempt in hand has been written, at least in part."""
+        """Whether an attempt is in progress, whose request may have been written at least in part."""
         return self.exchange is not None
 
     async def _run_attempts(self, body: bytes, resumed: bool) -> bytes | None:
@@ -107,7 +107,7 @@
     async def _attempt(
         self, connection: Connection, router: Router, body: bytes, mark: AttemptMark
     ) -> tuple[Outcome | None, bytes | None]:
-        """Send once, and wait for what comes first."""
+        """Send the request once, and return the outcome if it failed, else the first event."""
         exchange = connection.start(self.request, body, mark)
         self.exchange = exchange
         first_send = not self.attempts
@@ -134,9 +134,8 @@
             if write_started and not sent:
                 self._count_attempt(first_send, mark)
             since_sent_s = anyio.current_time() - sent_at
-            connection.lost_before_answer = (
-                self.shared.pool.protocol == "http"
-            )  # a gRPC line tells the pool itself
+            # A gRPC connection reports its loss to the pool itself.
+            connection.lost_before_answer = self.shared.pool.protocol == "http"
             return outcome_of(lost, connection, exchange.begun, sent, since_sent_s), None
         if isinstance(result, Outcome):
             return result, None
@@ -159,7 +158,7 @@
             shared.stats.retries += 1
 
     def _record_outcome(self, outcome: Outcome, connection: Connection, router: Router, now: float) -> None:
-        """Tell the router's record, the pauses and the gate what the attempt came to."""
+        """Pass the outcome of an attempt to the router's record, the pauses and the reconnection gate."""
         shared = self.shared
         self._earlier_may_have_run = self._earlier_may_have_run or outcome.may_have_run
         if outcome.router_fault:
@@ -175,24 +174,27 @@
             shared.pool.kept_connection_lost(connection)
 
     def _count_silent_router(self) -> None:
-        """The deadline passed over a request that a router had and never spoke of: a healthy one would have
-        answered first, so this counts against it.
+        """Record a failure of a router that has sent nothing by the call's deadline.
+
+        A healthy router would have answered before that, if only with an error.
         """
-        if self.exchange is not None and self._router is not None:
-            self.shared.picker.record_failure(self._router, anyio.current_time())
+        if self.exchange is not None and self._router_record is not None:
+            self.shared.picker.record_failure(self._router_record, anyio.current_time())
 
-    # A line.
+    # The connection.
 
     async def _acquire_connection(self) -> tuple[Connection, Router]:
-        """A line to the router that gets the next attempt: one at rest, or a new one when the gate allows.
-        Raises the call's error once no request could be in time any more.
+        """Return a connection for the next attempt and its router: a kept one, or a new one where allowed.
+
+        Waits as long as pauses, the reconnection gate and the connection limit require. Raises the call's
+        error once no request could be in time any more.
         """
         shared, deadline = self.shared, self.deadline
         pool, picker, request = shared.pool, shared.picker, self.request
         last_failure = ""
         has_waited = False
-        # What answers take of late must still fit after a dial, unless that alone is half of what is left.
-        # Taken once: a last moment that moved on as time passes would never come.
+        # After a dial there must be time for an answer as long as recent ones, but at most half of the time
+        # left is kept for it. Computed once: with a bound that shrinks, the last moment would never come.
         remaining_s = deadline.remaining_s(anyio.current_time())
         answer_s = min(1.5 * shared.answer_time.estimate_s, remaining_s / 2)
         while True:
@@ -209,14 +211,13 @@
                 await self._wait_for_pause(now, has_waited)
                 has_waited = True
                 continue
-            connection = pool.take_idle(router.address)
-            if (
-                connection is None and pool.reconnect_gate.is_backing_off
-            ):  # rather a line that is there than a dial
+            connection = pool.take_available(router.address)
+            # During a backoff an open connection to another router is better than a dial.
+            if connection is None and pool.reconnect_gate.is_backing_off:
                 for other in sorted(picker.routers.values(), key=lambda r: r.outstanding):
                     if other is router or is_paused(other) or not picker.is_admitted(other, now):
                         continue
-                    if (connection := pool.take_idle(other.address)) is not None:
+                    if (connection := pool.take_available(other.address)) is not None:
                         router = other
                         break
             if connection is not None:
@@ -229,7 +230,9 @@
                 now, latest, sum(pool.dialling.values()), pool.has_live_connection(router.address)
             )
             if at is None and now < latest and any(pool.has_live_connection(a) for a in picker.routers):
-                await pool.wait_for_change(latest)  # no dial, but a call that is out may let go of its line
+                await pool.wait_for_change(
+                    latest
+                )  # no dial in time, but another call may free its connection
                 continue
             if at is None:
                 cause = (
@@ -251,7 +254,10 @@
                     pool.all_dials_failed()
 
     async def _wait_for_pause(self, now: float, has_waited: bool) -> None:
-        """Every router that is left has asked for a pause for this class."""
+        """Wait for the first pause to end, when all routers have asked for one for this class.
+
+        Raises the call's error if that is past the deadline, or if there is no router.
+        """
         shared, rpc_class = self.shared, self.request.rpc_class
         remaining_s = min(
             (shared.pauses.remaining_s(a, rpc_class, now) for a in shared.picker.routers), default=0.0
@@ -267,7 +273,10 @@
         await anyio.sleep(min(remaining_s + spread, max(latest - now, 0.0)))
 
     def _error_before_sending(self, cause: str, advice_s: float | None = None) -> ClientError:
-        """Nothing more can be sent in time: the last outcome is the call's error, if there was one."""
+        """Return the error of a call that can send nothing more in time.
+
+        It is that of the last outcome, unless there was none or the request can't have reached a router.
+        """
         if self._last_outcome is not None and self._last_outcome.kind is not OutcomeKind.NEVER_RAN:
             return self.error_for(self._last_outcome)
         if advice_s is not None:
@@ -276,17 +285,17 @@
         return self.error(Failed, cause, False)
 
     def _assign(self, router: Router, connection: Connection) -> None:
-        self._router, self._connection, self.router = router, connection, router.address
+        self._router_record, self._connection, self.router = router, connection, router.address
         router.outstanding += 1
 
     def release(self) -> None:
-        """End the attempt in hand: cancelled at the router, unless it is over. Idempotent."""
+        """Close the current attempt, which cancels an open one at the router. Idempotent."""
         if self.exchange is not None:
             self.exchange.close(anyio.current_time())
             self.exchange = None
-        if self._router is not None:
-            self._router.outstanding -= 1
-            self._router = None
+        if self._router_record is not None:
+            self._router_record.outstanding -= 1
+            self._router_record = None
         if self._connection is not None:
             self.shared.pool.release(self._connection)
             self._connection = None
@@ -310,6 +319,7 @@
         )
 
     def error_for(self, outcome: Outcome) -> ClientError:
+        """Return the error that tells the caller about this outcome."""
         if outcome.kind is OutcomeKind.REFUSED:
             self.shared.stats.refusals_surfaced += 1
             return self.error(Refused, outcome.cause, False, outcome.retry_after_s)
@@ -321,7 +331,7 @@
 
 
 def deadline_after(timeout_s: float) -> Deadline:
-    """ValueError for a time-out that is none."""
+    """Return the deadline that is `timeout_s` seconds ahead; raise ValueError for an invalid time-out."""
     if isinstance(timeout_s, bool) or not 0 < timeout_s < math.inf:
         raise ValueError(f"timeout_s is not a positive number: {timeout_s!r}")
     return Deadline(anyio.current_time() + timeout_s)
--- a/sorreldock/client/pool.py
+++ b/sorreldock/client/pool.py
@@ -1,4 +1,4 @@
-"""The client's lines to its routers: taking, dialling, watching those at rest."""
+"""The client's pool of connections to routers: reuse, dialling, and the care of idle connections."""
 
 from __future__ import annotations
 
@@ -17,12 +17,15 @@
 from .types import ClientSettings
 from .wire import Connection
 
-SWEEP_INTERVAL_S = 0.1  # how often lines at rest are looked at
+SWEEP_INTERVAL_S = 0.1  # between checks of the connections
 IDLE_FACTOR = {"http": 1.0, "kserve": 8.0}  # the routers keep idle connections for 5 s, gRPC's for 60 s
 
 
 class Pool:
-    """Owns every line. `group` is the client's task group, in which a gRPC line reads and writes."""
+    """The owner of all connections of a client.
+
+    `group` is the client's task group, in which gRPC connections read and write.
+    """
 
     def __init__(
         self,
@@ -41,51 +44,59 @@
         self.group: anyio.abc.TaskGroup | None = None
         self.is_closed = False
         self.observe: Callable[[str, str, float], None] = lambda what, router, at: None
-        self._changed = anyio.Event()
+        self._change = anyio.Event()
 
-    # Taking.
+    # Reuse.
 
     def _usable(self, connection: Connection) -> bool:
         return connection.free_slots > 0 and (
             self.protocol == "kserve" or not connection.socket.is_readable()
         )
 
-    def take_idle(self, address: str) -> Connection | None:
-        """A line with room, the one used last first, so that others grow idle and close; None: dial."""
+    def take_available(self, address: str) -> Connection | None:
+        """Return a connection with a free slot, or None if one has to be dialled.
+
+        Those opened last come first, so that the others become idle and close. An unused HTTP connection
+        with something to read has ended or is out of step, and is closed.
+        """
         for connection in reversed(self.connections.get(address, [])):
             if connection.free_slots <= 0:
                 continue
             if self._usable(connection):
                 return connection
             self._handle_loss(connection, idle=True)
-            return self.take_idle(address)
+            return self.take_available(address)
         return None
 
     def has_free_slot(self, address: str) -> bool:
         return any(connection.free_slots > 0 for connection in self.connections.get(address, ()))
 
     def has_live_connection(self, address: str) -> bool:
-        """Whether a line to this router is open that the router has not said it will end."""
+        """Return whether a connection to this router is open that the router has not announced to end."""
         return any(not connection.closing for connection in self.connections.get(address, ()))
 
     def is_full(self, address: str) -> bool:
+        """Return whether this router has `max_connections`, with dials in progress."""
         count = len(self.connections.get(address, ())) + self.dialling.get(address, 0)
         return count >= self.settings.max_connections
 
     async def wait_for_change(self, until: float) -> None:
-        """Wait until a line has come, gone or got room, or until this moment."""
-        event = self._changed
+        """Wait until a connection opens, closes or gets a free slot, at most until this moment."""
+        event = self._change
         with anyio.move_on_after(max(until - anyio.current_time(), 0.0)):
             await event.wait()
 
     def notify_change(self) -> None:
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._change.set()
+        self._change = anyio.Event()
 
     # Dialling.
 
     async def dial(self, router: Router) -> Connection:
-        """A new line. DialFailed when none came up; the picker and the gate have heard of it then."""
+        """Return a new connection to this router.
+
+        Raises DialFailed if none came up, after the picker and the reconnection gate have recorded that.
+        """
         address, settings = router.address, self.settings
         self.dialling[address] = self.dialling.get(address, 0) + 1
         started_at = anyio.current_time()
@@ -126,22 +137,24 @@
         return connection
 
     async def _run(self, connection: KserveConnection) -> None:
+        """Run a gRPC connection to its end."""
         await connection.run()
         if not connection.socket.closed and not connection.closing:
             self._handle_loss(connection, idle=not connection.busy)
         else:
-            self.drop(connection)
+            self.close_connection(connection)
 
     def _record_delay(self, delay: float | None) -> None:
         if delay is not None:
             self.stats.record(self.stats.reconnect_delay_us, delay)
 
-    # Losing.
+    # Loss.
 
     def _handle_closing(self, connection: Connection) -> None:
+        """Record that a router announced to end this connection."""
         now = anyio.current_time()
         router = self.picker.routers.get(connection.router)
-        if router is None:  # it has left the list: its end is our own doing
+        if router is None:  # the router has left the list, and this client ends the connection itself
             return
         self.picker.record_stopping(router, now)
         self.stats.connections_lost += 1
@@ -152,23 +165,24 @@
         self.notify_change()
 
     def _handle_loss(self, connection: Connection, idle: bool) -> None:
-        self.drop(connection)
+        """Close and record a connection that the router ended unannounced."""
+        self.close_connection(connection)
         now = anyio.current_time()
         self.stats.connections_lost += 1
         self.observe("lost", connection.router, now)
         self._record_delay(self.reconnect_gate.connection_lost(now, self._rng.random(), idle=idle))
 
     def kept_connection_lost(self, connection: Connection) -> None:
-        """A kept line ended under a request: so may others' have."""
+        """Record the loss of a kept connection during a request, which may be that of many clients."""
         self._handle_loss(connection, idle=False)
 
     def all_dials_failed(self) -> None:
-        """A request in hand has met no router at all: the next dial waits for a turn, as after a loss."""
+        """Start a backoff, as after a loss, when a request could connect to no router at all."""
         self._record_delay(
             self.reconnect_gate.connection_lost(anyio.current_time(), self._rng.random(), idle=False)
         )
 
-    def drop(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
         connection.close()
         connections = self.connections.get(connection.router, [])
         if connection in connections:
@@ -179,22 +193,22 @@
         self.notify_change()
 
     def release(self, connection: Connection) -> None:
-        """An exchange has let go of it."""
+        """Take back a connection from an exchange that has ended."""
         if connection.closing and self.protocol == "http" and connection.router in self.picker.routers:
             self._handle_closing(connection)
         if connection.socket.closed or (connection.closing and not connection.busy):
-            self.drop(connection)
+            self.close_connection(connection)
         self.notify_change()
 
     def close(self) -> None:
         self.is_closed = True
         for connections in list(self.connections.values()):
             for connection in list(connections):
-                self.drop(connection)
+                self.close_connection(connection)
         self.notify_change()
 
     def close_after_fork(self) -> None:
-        """In a forked child: let this process's copies of the descriptors go, and say nothing on them."""
+        """Close a forked child's copies of the descriptors without writing to the connections."""
         self.is_closed = True
         for connections in self.connections.values():
             for connection in connections:
@@ -202,26 +216,27 @@
         self.connections.clear()
 
     def remove_routers(self, addresses: list[str]) -> None:
-        """Routers that are on the list no more: what is at rest closes, what is busy ends its calls."""
+        """Close the connections to routers that left the list, the busy ones after their calls."""
         for address in addresses:
             for connection in list(self.connections.get(address, ())):
                 connection.closing = True
                 if not connection.busy:
-                    self.drop(connection)
+                    self.close_connection(connection)
 
-    # At rest.
+    # Idle connections.
 
     async def maintain(self) -> None:
+        """Check the connections and reopen lost idle ones, until cancelled."""
         while True:
             if not self.connections and not self.reconnect_gate.reopens_due:
-                await self._changed.wait()
+                await self._change.wait()
                 continue
             await anyio.sleep(SWEEP_INTERVAL_S)
-            self.sweep(anyio.current_time())
+            self.check_connections(anyio.current_time())
             await self._reopen_one(anyio.current_time())
 
-    def sweep(self, now: float) -> None:
-        """Close what has rested long enough, and find out what has ended or fallen silent."""
+    def check_connections(self, now: float) -> None:
+        """Close connections that were idle for too long, have ended, or whose peer doesn't answer a ping."""
         idle_s = self.settings.idle_s * IDLE_FACTOR[self.protocol]
         for connection in [
             connection for connections in self.connections.values() for connection in connections
@@ -234,12 +249,12 @@
                         self.picker.record_failure(router, now)
             elif not connection.busy:
                 if now - connection.idle_since >= idle_s:
-                    self.drop(connection)
+                    self.close_connection(connection)
                 elif not isinstance(connection, KserveConnection) and connection.socket.is_readable():
                     self._handle_loss(connection, idle=True)
 
     async def _reopen_one(self, now: float) -> None:
-        """An idle connection that was lost comes back late and alone, if its place is still empty."""
+        """Open one lost idle connection again, if the client has no connection by then."""
         if self.connections:
             self.reconnect_gate.reopens_due = 0
             return
