--- a/sorreldock/client/http.py
+++ b/sorreldock/client/http.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP/1.1, as a client: one call at a time on a connection (h11)."""
+"""The client side of the platform's HTTP/1.1 protocol: one call at a time on a connection (h11)."""
 
 from __future__ import annotations
 
@@ -19,32 +19,35 @@
 REQUEST_TARGET = b"/v1/chat/completions"
 REFUSAL_STATUSES = (429, 503)
 BLANK_LINE = re.compile(rb"\r?\n\r?\n")
-MAX_DISCARDED_BYTES = 64 * 1024  # of the body of an answer that is none
+MAX_DISCARDED_BYTES = 64 * 1024  # of the body of an error response
 DISCARD_TIMEOUT_S = 0.5
 
 
 def outcome_of_status(status: int, advice: str | None, wall_s: float) -> Outcome:
-    """What an answer other than 200 means (the platform's table)."""
+    """Return the outcome for a status other than 200, as the platform defines them.
+
+    `advice` is the value of `Retry-After`; `wall_s` is Unix time in seconds.
+    """
     if status in REFUSAL_STATUSES:
         return Outcome(OutcomeKind.REFUSED, f"refused with HTTP {status}", parse_retry_after(advice, wall_s))
     if status == 504:
-        return Outcome(OutcomeKind.EXPIRED, "the router gave up: HTTP 504")
-    if status == 408:  # the request did not reach the router whole
-        return Outcome(OutcomeKind.NEVER_RAN, "the request came too slowly: HTTP 408")
+        return Outcome(OutcomeKind.EXPIRED, "the deadline passed at the router: HTTP 504")
+    if status == 408:  # the router did not receive the whole request
+        return Outcome(OutcomeKind.NEVER_RAN, "the request was received too slowly: HTTP 408")
     if 400 <= status < 500:
         return Outcome(OutcomeKind.INVALID_REQUEST, f"HTTP {status}")
     return Outcome(OutcomeKind.MAY_HAVE_RUN, f"HTTP {status}")
 
 
 class EventSplitter:
-    """Cuts whole events out of a stream (WHATWG's event streams end each with a blank line)."""
+    """A splitter of an event stream into events, each of which ends with a blank line (WHATWG)."""
 
     def __init__(self, max_event_bytes: int) -> None:
         self._max_event_bytes = max_event_bytes
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The events that are whole now, unchanged. ConnectionLost for one that never ends."""
+        """Return the events now complete, unchanged; raise ConnectionLost for one that is too long."""
         buffer = self._buffer + data if self._buffer else data
         events, start = [], 0
         for blank in BLANK_LINE.finditer(buffer):
@@ -52,10 +55,11 @@
             start = blank.end()
         self._buffer = buffer[start:]
         if len(self._buffer) > self._max_event_bytes:
-            raise ConnectionLost("an event without an end")
+            raise ConnectionLost("an event exceeds the size limit")
         return events
 
     def take_rest(self) -> bytes:
+        """Return and remove what follows the last complete event."""
         rest, self._buffer = self._buffer, b""
         return rest
 
@@ -63,11 +67,11 @@
 class HttpConnection(Connection):
     """A connection to a router that speaks the platform's HTTP/1.1."""
 
-    def __init__(self, router: str, socket: Socket, now: float, largest_event: int) -> None:
+    def __init__(self, router: str, socket: Socket, now: float, max_event_bytes: int) -> None:
         super().__init__(router, socket, now)
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=64 * 1024)
         self.host = router.encode()
-        self.largest_event = largest_event
+        self.max_event_bytes = max_event_bytes
         self.is_in_use = False
         self._protocol_error: h11.RemoteProtocolError | None = None
 
@@ -76,7 +80,7 @@
         return 0 if self.is_in_use or self.closing or self.socket.closed else 1
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         return self.is_in_use
 
     def start(self, request: Request, body: bytes, mark: AttemptMark) -> HttpExchange:
@@ -87,13 +91,14 @@
         self.socket.close()
 
     async def read_event(self) -> h11.Event | type[h11.PAUSED]:
+        """Return the next HTTP event; raise ConnectionLost at a protocol error or an early end."""
         while True:
             if self._protocol_error is not None:
-                raise ConnectionLost(f"not an answer: {self._protocol_error}")
+                raise ConnectionLost(f"invalid HTTP response: {self._protocol_error}")
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise ConnectionLost(f"not an answer: {error}") from None
+                raise ConnectionLost(f"invalid HTTP response: {error}") from None
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             data = await self.socket.receive()
@@ -102,8 +107,9 @@
             self.parser.receive_data(data)
 
     def buffered_event(self) -> h11.Event | None:
-        """The next part of the answer's body, if it needs no read. What is wrong there the next wait tells,
-        after the events before it.
+        """Return the next part of the answer's body if it has been received already, else None.
+
+        `read_event` raises a protocol error found here, after the events before it have been delivered.
         """
         if self.parser.their_state is not h11.SEND_BODY or self._protocol_error is not None:
             return None
@@ -121,7 +127,7 @@
     def __init__(self, connection: HttpConnection, request: Request, body: bytes, mark: AttemptMark) -> None:
         self.connection = connection
         self._request, self._body, self._mark = request, body, mark
-        self._splitter = EventSplitter(connection.largest_event)
+        self._splitter = EventSplitter(connection.max_event_bytes)
         self._events: deque[bytes] = deque()
         self._closed = False
 
@@ -151,18 +157,19 @@
 
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
         parser = self.connection.parser
-        left = expires_in_s()
-        if left is None:
+        remaining_s = expires_in_s()
+        if remaining_s is None:
             return False
         data = (
-            parser.send(h11.Request(method=b"POST", target=REQUEST_TARGET, headers=self._head(left))) or b""
+            parser.send(h11.Request(method=b"POST", target=REQUEST_TARGET, headers=self._head(remaining_s)))
+            or b""
         )
         data += parser.send(h11.Data(data=self._body)) or b""
         data += parser.send(h11.EndOfMessage()) or b""
         try:
             await self.connection.socket.send(data)
         except ConnectionLost:
-            # The router may have answered and closed before it had read all: its answer counts.
+            # The router may have answered and closed before it read all of the request: use its answer.
             if not self.connection.socket.is_readable():
                 raise
         return True
@@ -184,7 +191,7 @@
         return await self.next_event()
 
     async def _discard_body(self) -> None:
-        """Read what is left of a short answer, so that its line can be kept; not for long."""
+        """Read the rest of a short error response, within limits, so that the connection can be kept."""
         size = 0
         with anyio.move_on_after(DISCARD_TIMEOUT_S):
             try:
@@ -204,7 +211,7 @@
             if self.is_complete:
                 return None
             self._accept(await self.connection.read_event())
-            # What came in the same read goes on without another wait.
+            # Parts that were received in the same read need no further wait.
             while not self.is_complete and (event := self.connection.buffered_event()) is not None:
                 self._accept(event)
         return self._events.popleft()
@@ -217,7 +224,7 @@
             if rest := self._splitter.take_rest():
                 self._events.append(rest)
         else:
-            raise ConnectionLost("closed without the last chunk")
+            raise ConnectionLost("closed by the router before the last chunk")
 
     def close(self, now: float) -> None:
         if self._closed:
--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -1,4 +1,4 @@
-"""KServe v2 over gRPC, as a client: many calls on one HTTP/2 connection (h2)."""
+"""The client side of KServe v2 over gRPC: many calls on one HTTP/2 connection (h2)."""
 
 from __future__ import annotations
 
@@ -34,10 +34,8 @@
 from .types import Request
 from .wire import AttemptMark, Connection, Exchange
 
-MAX_STREAMS_PER_CONNECTION = 32  # calls on a connection: enough to need few, and few enough to lose
-CONNECTION_WINDOW_BYTES = (
-    4 * 1024 * 1024
-)  # of the connection: a slow reader of one answer must not stop the others
+MAX_STREAMS_PER_CONNECTION = 32  # high enough for few connections, low enough to limit a lost one's damage
+CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024  # large, so that a slow reader of one answer does not stop others
 INVALID_REQUEST_CODES = {
     Code.INVALID_ARGUMENT,
     Code.NOT_FOUND,
@@ -47,19 +45,23 @@
 }
 
 
-def encode_request(request: Request, body: bytes, name: str) -> bytes:
-    """A ModelInferRequest with the body as its one BYTES element (length first, as KServe's page on binary
-    tensors has it).
+def encode_request(request: Request, body: bytes, request_id: str) -> bytes:
+    """Return a serialized ModelInferRequest with the body as its only BYTES element.
+
+    The element starts with its length, as KServe's binary tensor data extension requires.
     """
     tensor = pb.ModelInferRequest.InferInputTensor(name="text", datatype="BYTES", shape=[1])
     raw = struct.pack("<I", len(body)) + body
     return pb.ModelInferRequest(
-        model_name=request.model, id=name, inputs=[tensor], raw_input_contents=[raw]
+        model_name=request.model, id=request_id, inputs=[tensor], raw_input_contents=[raw]
     ).SerializeToString()
 
 
 def outcome_of_status(code: int, message: str, trailers: dict[str, str]) -> Outcome:
-    """What a status other than OK, before the first message, means (the router's table; gRFC A6)."""
+    """Return the outcome for a status other than OK before the first message (gRFC A6).
+
+    RESOURCE_EXHAUSTED without a pushback means that the request is too large.
+    """
     description = f"grpc-status {code}: {message}" if message else f"grpc-status {code}"
     advice, retry_forbidden = parse_pushback(trailers.get("grpc-retry-pushback-ms"))
     if code in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED):
@@ -78,9 +80,9 @@
 
 
 class KserveConnection(Connection):
-    """A connection and its HTTP/2 state. `run`, in the client's task group, reads and writes it."""
+    """A gRPC connection and its HTTP/2 state, read and written by `run` in the client's task group."""
 
-    def __init__(self, router: str, socket: Socket, now: float, largest_event: int) -> None:
+    def __init__(self, router: str, socket: Socket, now: float, max_event_bytes: int) -> None:
         super().__init__(router, socket, now)
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(client_side=True, header_encoding="utf-8")
@@ -94,18 +96,18 @@
         )
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
-        self.largest_event = largest_event
+        self.max_event_bytes = max_event_bytes
         self.exchanges: dict[int, KserveExchange] = {}
-        self.slots_in_use = 0  # places, some of which may have no stream yet
+        self.slots_in_use = 0  # some of which may have no stream yet
         self.last_received_at = now
         self.pinged_at: float | None = None
         self.on_closing: Callable[[], None] = lambda: None
         self._goaways = Farewells(preface=False)
         self._pending = self.h2.data_to_send()
-        self._wake = anyio.Event()
+        self._data_pending = anyio.Event()
         self._lost: ConnectionLost | None = None
-        self._written_bytes = 0  # bytes, and how many were to be written in all
-        self._queued_bytes = len(self._pending)
+        self._written_bytes = 0
+        self._queued_bytes = len(self._pending)  # in total, those written included
 
     @property
     def free_slots(self) -> int:
@@ -117,7 +119,7 @@
         )
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         return self.slots_in_use > 0
 
     def start(self, request: Request, body: bytes, mark: AttemptMark) -> KserveExchange:
@@ -125,8 +127,8 @@
         return KserveExchange(self, request, body, mark)
 
     async def run(self) -> None:
-        """Read and write until the connection ends; whoever waits on it then hears why."""
-        lost = ConnectionLost("closed here")
+        """Read and write until the connection ends, then end its exchanges with the reason."""
+        lost = ConnectionLost("the connection was closed locally")
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
@@ -135,7 +137,7 @@
                 except ConnectionLost as error:
                     lost = error
                 except (h2.exceptions.ProtocolError, GrpcError) as error:
-                    lost = ConnectionLost(f"not HTTP/2: {error}")
+                    lost = ConnectionLost(f"HTTP/2 protocol error: {error}")
                 group.cancel_scope.cancel()
         finally:
             self._end_exchanges(lost)
@@ -159,25 +161,25 @@
                 self._handle_goaway(goaway)
             self.flush()
             if self.closing and not self.slots_in_use:
-                raise ConnectionLost("the router has said goodbye")
+                raise ConnectionLost("closed after the router's GOAWAY")
 
     def _handle_goaway(self, goaway: Farewell) -> None:
         if not self.closing:
             self.closing = True
             self.on_closing()
         for stream_id, exchange in list(self.exchanges.items()):
-            if stream_id > goaway.last_stream:  # RFC 9113 6.8: not taken, and never will be
-                exchange.end_with(Outcome(OutcomeKind.NEVER_RAN, "left out by a GOAWAY", stale=True))
+            if stream_id > goaway.last_stream:  # RFC 9113 6.8: the router does not process it
+                exchange.end_with(Outcome(OutcomeKind.NEVER_RAN, "not processed before GOAWAY", stale=True))
 
     def _handle_event(self, event: h2.events.Event) -> None:
         exchange = self.exchanges.get(getattr(event, "stream_id", None) or 0)
         match event:
             case h2.events.DataReceived():
-                length = event.flow_controlled_length or 0
+                flow_controlled_bytes = event.flow_controlled_length or 0
                 if exchange is None:
-                    self.acknowledge(length, event.stream_id or 0)
+                    self.acknowledge(flow_controlled_bytes, event.stream_id or 0)
                 else:
-                    exchange.receive_data(event.data or b"", length)
+                    exchange.receive_data(event.data or b"", flow_controlled_bytes)
             case h2.events.ResponseReceived() | h2.events.TrailersReceived() if exchange is not None:
                 exchange.receive_headers({str(k): str(v) for k, v in event.headers or []})
             case h2.events.StreamEnded() if exchange is not None:
@@ -191,60 +193,64 @@
                         ConnectionLost(f"the stream was reset with error {event.error_code}")
                     )
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
-                for waiting in self.exchanges.values():
-                    waiting.notify()
+                for other in self.exchanges.values():
+                    other.notify()
 
-    def acknowledge(self, length: int, stream: int) -> None:
-        if length and self._lost is None:
-            with suppress(h2.exceptions.ProtocolError):  # a stream that is over has no room to give
-                self.h2.acknowledge_received_data(length, stream)
+    def acknowledge(self, flow_controlled_bytes: int, stream: int) -> None:
+        if flow_controlled_bytes and self._lost is None:
+            with suppress(h2.exceptions.ProtocolError):  # a closed stream has no window to update
+                self.h2.acknowledge_received_data(flow_controlled_bytes, stream)
 
     def flush(self) -> int:
-        """Hand over what the state has to say; returns the count of bytes to be written by then."""
+        """Queue the output of the HTTP/2 state, and return the total of bytes queued so far."""
         data = self.h2.data_to_send()
         if data:
             self._pending += data
             self._queued_bytes += len(data)
-            self._wake.set()
+            self._data_pending.set()
         return self._queued_bytes
 
     def has_written(self, position: int) -> bool:
+        """Return whether the output up to this total of bytes (a result of `flush`) has been written."""
         return self._written_bytes >= position
 
     async def _write(self) -> None:
         try:
             while True:
                 while not self._pending:
-                    self._wake = anyio.Event()
-                    await self._wake.wait()
+                    self._data_pending = anyio.Event()
+                    await self._data_pending.wait()
                 data, self._pending = self._pending, b""
                 await self.socket.send(data)
                 self._written_bytes += len(data)
         except ConnectionLost as lost:
             self._end_exchanges(lost)
 
-    def ping_if_quiet(self, now: float, after_s: float) -> bool:
-        """Ask a quiet peer for a sign of life; False once it has owed one for as long again."""
+    def ping_if_quiet(self, now: float, quiet_s: float) -> bool:
+        """Ping a peer that sent nothing for `quiet_s` seconds.
+
+        Returns False once the peer has sent nothing for as long again after the ping.
+        """
         if self.pinged_at is not None:
-            return now - self.pinged_at < after_s
-        if now - self.last_received_at >= after_s:
+            return now - self.pinged_at < quiet_s
+        if now - self.last_received_at >= quiet_s:
             self.pinged_at = now
             self.h2.ping(b"sorrel??")
             self.flush()
         return True
 
     def fail_connection(self, cause: str) -> None:
-        """End all that is on it: its machine has gone."""
+        """Close the connection, and end all its exchanges with this cause."""
         self._end_exchanges(ConnectionLost(cause))
         self.close()
 
     def close(self) -> None:
-        self._end_exchanges(ConnectionLost("closed here"))
+        self._end_exchanges(ConnectionLost("the connection was closed locally"))
         self.socket.close()
 
 
 class KserveExchange(Exchange):
-    """One call on a gRPC connection."""
+    """One attempt of a call on a gRPC connection."""
 
     def __init__(
         self, connection: KserveConnection, request: Request, body: bytes, mark: AttemptMark
@@ -252,7 +258,7 @@
         self.connection = connection
         self._request, self._mark = request, mark
         self._message = frame(encode_request(request, body, mark.trace_id))
-        self._unframer = Unframer(connection.largest_event)
+        self._unframer = Unframer(connection.max_event_bytes)
         self._unacknowledged = 0
         self._headers: dict[str, str] = {}
         self._stream_id = 0
@@ -263,7 +269,7 @@
         self.ended = False
         self._changed = anyio.Event()
 
-    # The line's side.
+    # Used by the connection.
 
     def notify(self) -> None:
         self._changed.set()
@@ -273,27 +279,27 @@
         self._headers.update(fields)
         self.notify()
 
-    def receive_data(self, data: bytes, length: int) -> None:
-        self._unacknowledged += length
+    def receive_data(self, data: bytes, flow_controlled_bytes: int) -> None:
+        self._unacknowledged += flow_controlled_bytes
         self._unframer.feed(data)
         self.notify()
 
     def connection_lost(self, lost: ConnectionLost) -> None:
         if not self.ended and self._outcome is None:
-            unwritten = self._stream_id == 0 or not self.connection.has_written(self._end_position)
-            self._lost = ConnectionLost(lost.cause, unread=lost.unread or unwritten)
+            is_unwritten = self._stream_id == 0 or not self.connection.has_written(self._end_position)
+            self._lost = ConnectionLost(lost.cause, unread=lost.unread or is_unwritten)
             self.notify()
 
     def end_with(self, outcome: Outcome) -> None:
         self._outcome = outcome
         self.notify()
 
-    # The call's side.
+    # Used by the call.
 
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
         connection, request, mark = self.connection, self._request, self._mark
-        left = expires_in_s()
-        if left is None:
+        remaining_s = expires_in_s()
+        if remaining_s is None:
             return False
         if connection._lost is not None:
             raise connection._lost
@@ -319,7 +325,7 @@
                     (":authority", connection.router),
                     ("te", "trailers"),
                     ("content-type", "application/grpc"),
-                    ("grpc-timeout", format_timeout(left)),
+                    ("grpc-timeout", format_timeout(remaining_s)),
                     *((k, v) for k, v in metadata.items() if v),
                 ],
             )
@@ -339,30 +345,31 @@
                 connection.h2.send_data(self._stream_id, unsent[:window], end_stream=len(unsent) <= window)
                 unsent = unsent[window:]
         except h2.exceptions.StreamClosedError:
-            self._raise_if_lost()  # the answer came before the request was whole
+            self._raise_if_lost()  # without a loss, the answer ended before the request was sent in full
         except h2.exceptions.ProtocolError as error:
             raise ConnectionLost(str(error), unread=True) from None
         self._end_position = connection.flush()
         return True
 
     def _raise_if_lost(self) -> None:
+        """Raise ConnectionLost if the connection or the stream has failed."""
         if self._lost is not None:
             raise self._lost
 
     async def first_event(self) -> bytes | Outcome | None:
-        message = await self.next_event(opening=True)
+        message = await self.next_event(awaits_first=True)
         if message is not None or self._outcome is None:
             return message
         return self._outcome
 
-    async def next_event(self, opening: bool = False) -> bytes | None:
+    async def next_event(self, awaits_first: bool = False) -> bytes | None:
         while True:
             changed = self._changed
             try:
                 message = self._unframer.next()
             except GrpcError as error:
                 raise ConnectionLost(error.message) from None
-            if message is not None or self._unframer.partial:  # a long message needs room to go on
+            if message is not None or self._unframer.partial:  # a long message needs more window
                 self.connection.acknowledge(self._unacknowledged, self._stream_id)
                 self._unacknowledged = 0
                 self.connection.flush()
@@ -370,7 +377,7 @@
                 self.begun = True
                 return self._decode_event(message)
             if self._outcome is not None:
-                if not opening:
+                if not awaits_first:
                     raise ConnectionLost(self._outcome.cause)
                 return None
             self._raise_if_lost()
@@ -379,7 +386,7 @@
                 if code == Code.OK and not self._unframer.partial:
                     self.is_complete = True
                     return None
-                if not opening:
+                if not awaits_first:
                     raise ConnectionLost(f"grpc-status {code}: {text}")
                 self._outcome = outcome_of_status(code, text, self._headers)
                 return None
@@ -390,7 +397,7 @@
         try:
             response = pb.ModelStreamInferResponse.FromString(message)
         except DecodeError:
-            raise ConnectionLost("a message that can't be read") from None
+            raise ConnectionLost("malformed ModelStreamInferResponse") from None
         if response.error_message:
             raise ConnectionLost(response.error_message[:200])
         return message
--- a/sorreldock/client/pool.py
+++ b/sorreldock/client/pool.py
@@ -140,7 +140,7 @@
         """Run a gRPC connection to its end."""
         await connection.run()
         if not connection.socket.closed and not connection.closing:
-            self._handle_loss(connection, idle=not connection.busy)
+            self._handle_loss(connection, idle=not connection.is_busy)
         else:
             self.close_connection(connection)
 
@@ -160,7 +160,7 @@
         self.stats.connections_lost += 1
         self.observe("lost", connection.router, now)
         self._record_delay(
-            self.reconnect_gate.connection_lost(now, self._rng.random(), idle=not connection.busy)
+            self.reconnect_gate.connection_lost(now, self._rng.random(), idle=not connection.is_busy)
         )
         self.notify_change()
 
@@ -196,7 +196,7 @@
         """Take back a connection from an exchange that has ended."""
         if connection.closing and self.protocol == "http" and connection.router in self.picker.routers:
             self._handle_closing(connection)
-        if connection.socket.closed or (connection.closing and not connection.busy):
+        if connection.socket.closed or (connection.closing and not connection.is_busy):
             self.close_connection(connection)
         self.notify_change()
 
@@ -220,7 +220,7 @@
         for address in addresses:
             for connection in list(self.connections.get(address, ())):
                 connection.closing = True
-                if not connection.busy:
+                if not connection.is_busy:
                     self.close_connection(connection)
 
     # Idle connections.
@@ -241,13 +241,13 @@
         for connection in [
             connection for connections in self.connections.values() for connection in connections
         ]:
-            if isinstance(connection, KserveConnection) and connection.busy:
+            if isinstance(connection, KserveConnection) and connection.is_busy:
                 if not connection.ping_if_quiet(now, self.settings.ping_s):
                     connection.fail_connection("no answer to a ping")
                     router = self.picker.routers.get(connection.router)
                     if router is not None:
                         self.picker.record_failure(router, now)
-            elif not connection.busy:
+            elif not connection.is_busy:
                 if now - connection.idle_since >= idle_s:
                     self.close_connection(connection)
                 elif not isinstance(connection, KserveConnection) and connection.socket.is_readable():
--- a/sorreldock/client/sockets.py
+++ b/sorreldock/client/sockets.py
@@ -1,4 +1,4 @@
-"""TCP for asyncio and trio alike: plain non-blocking sockets, which anyio waits for."""
+"""TCP connections for asyncio and trio alike: non-blocking sockets on which anyio waits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConnectionLost(Exception):
-    """The connection ended. `unread`: the peer can't have read all that was sent."""
+    """The connection ended; `unread` says that the peer can't have read all that was sent."""
 
     def __init__(self, cause: str, unread: bool = False) -> None:
         super().__init__(cause)
@@ -27,7 +27,7 @@
 
 
 class Socket:
-    """A connection. One task writes at a time, one reads; cancelling either leaves it usable."""
+    """A TCP connection for one reading and one writing task, usable even after either is cancelled."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -35,7 +35,7 @@
         self.all_sent = True
 
     async def send(self, data: bytes) -> None:
-        """All of it; Lost when the peer has gone."""
+        """Send all of the data; raise ConnectionLost when the connection has ended."""
         view = memoryview(data)
         self.all_sent = False
         while view:
@@ -48,19 +48,20 @@
         self.all_sent = True
 
     async def receive(self) -> bytes:
-        """What has arrived; b"" once the peer has ended its sending. Lost for a reset."""
+        """Return received data, b"" at the peer's end of sending; raise ConnectionLost at a reset."""
         while True:
             try:
                 return self._sock.recv(RECEIVE_BYTES)
             except (BlockingIOError, InterruptedError):
                 await self._wait_readable()
             except OSError as error:
-                # A reset: the peer's machine held bytes that nobody had read, or knew no such connection.
+                # A reset: the peer's kernel held bytes that were not read, or didn't know the connection.
                 raise ConnectionLost(_describe(error), unread=True) from None
 
     def unread_by_peer(self) -> bool:
-        """Whether, after the peer's end, some of what was sent had not even reached its machine, or was
-        turned away there: then nobody has read the whole of it.
+        """Return whether the peer, whose end has come, can't have read all that was sent.
+
+        This holds when some of it was not acknowledged by the peer's kernel, or was rejected there.
         """
         if not self.all_sent:
             return True
@@ -74,7 +75,7 @@
             return True
 
     def is_readable(self) -> bool:
-        """Whether the peer has said something or has gone, unasked."""
+        """Return whether data, the peer's end of sending or an error can be read without waiting."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -87,13 +88,13 @@
         try:
             await anyio.wait_readable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise ConnectionLost("closed here") from None
+            raise ConnectionLost("the connection was closed locally") from None
 
     async def _wait_writable(self) -> None:
         try:
             await anyio.wait_writable(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise ConnectionLost("closed here") from None
+            raise ConnectionLost("the connection was closed locally") from None
 
     def close(self) -> None:
         if not self.closed:
@@ -103,7 +104,7 @@
                 self._sock.close()
 
     def close_after_fork(self) -> None:
-        """Close this process's copy alone, without the event loop: for a forked child."""
+        """Close a forked child's copy of the descriptor, without the event loop."""
         self.closed = True
         self._sock.close()
 
@@ -116,7 +117,7 @@
 
 
 async def dial(address: str, silence_s: float) -> Socket:
-    """Connect to `host:port`; the caller bounds the time. DialFailed says why not.
+    """Connect to `host:port`, and raise DialFailed if that fails; the caller bounds the time.
 
     TCP_USER_TIMEOUT (RFC 5482) ends a connection whose peer acknowledges nothing for `silence_s`.
     """
--- a/sorreldock/client/wire.py
+++ b/sorreldock/client/wire.py
@@ -1,4 +1,4 @@
-"""What the two protocols have in common: a line to a router, and one call's exchange on it."""
+"""The interface of both protocols: a connection to a router, and the exchange of one attempt on it."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from .sockets import ConnectionLost, Socket
 from .types import Request
 
-RESET_CROSSING_S = 0.25  # a reset this soon after the last byte: the router's end crossed the request
+# A reset within this time after the last byte means that the router closed while the request was in transit.
+RESET_CROSSING_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptMark:
-    """What an attempt says of itself on the wire."""
+    """The identification of an attempt on the wire."""
 
-    trace_id: str  # the trace id: every attempt has a new one
-    retry: int = 0  # how many times this request has been sent again
-    resumed: bool = False  # it asks for the rest of a broken answer
+    trace_id: str  # new for every attempt
+    retry: int = 0  # how many retries of this request there have been
+    resumed: bool = False  # whether the attempt asks for the rest of a broken answer
 
 
 class Connection(ABC):
@@ -28,62 +29,66 @@
     def __init__(self, router: str, socket: Socket, now: float) -> None:
         self.router = router
         self.socket = socket
-        self.calls_completed = 0  # calls that it has carried to an answer: kept if any
-        self.lost_before_answer = False  # it ended under a request, before anything of an answer had come
-        self.closing = False  # the router has said that it will end this connection
+        self.calls_completed = 0  # with any, this is a kept connection
+        self.lost_before_answer = False  # whether it ended during a request, before the answer's head
+        self.closing = False  # whether the router has announced to end this connection
         self.idle_since = now
 
     @property
     @abstractmethod
     def free_slots(self) -> int:
-        """How many more calls it can take now."""
+        """The number of further calls that the connection can take now."""
 
     @property
     @abstractmethod
-    def busy(self) -> bool: ...
+    def is_busy(self) -> bool: ...
 
     @abstractmethod
     def start(self, request: Request, body: bytes, mark: AttemptMark) -> Exchange:
-        """Take a place on this line; nothing is written yet."""
+        """Occupy a slot of this connection for an attempt; nothing is written yet."""
 
     @abstractmethod
     def close(self) -> None: ...
 
 
 class Exchange(ABC):
-    """One attempt of a call. `close` at any moment cancels it at the router."""
+    """One attempt of a call. Closing it before its end cancels it at the router."""
 
-    begun = False  # the head of an answer has come
-    is_complete = False  # the answer has come to its end
+    begun = False  # whether the head of an answer has arrived
+    is_complete = False  # whether the answer has arrived to its end
 
     @abstractmethod
     async def send(self, expires_in_s: Callable[[], float | None]) -> bool:
-        """Write the request; the time that is left is asked for right before its first byte. False, and
-        nothing written, if none is left. Lost if the connection ends.
+        """Write the request, and return whether there was time for it.
+
+        `expires_in_s` is called right before the first byte is written, and returns the seconds left or None
+        for too few; then nothing is written. Raises ConnectionLost if the connection ends.
         """
 
     @abstractmethod
     async def first_event(self) -> bytes | Outcome | None:
-        """The first event; None for a whole answer without one; or what the attempt came to instead."""
+        """Return the first event, None for a complete answer without one, or the outcome of a failure."""
 
     def buffered_event(self) -> bytes | None:
-        """An event that has been read already; None if `next` has to look for one."""
+        """Return an event that has been received already, or None if `next_event` has to be awaited."""
         return None
 
     @abstractmethod
     async def next_event(self) -> bytes | None:
-        """The next event; None at the end of a whole answer. Lost if it was cut off."""
+        """Return the next event, or None at the end of the answer; raise ConnectionLost if it was cut off."""
 
     @abstractmethod
     def close(self, now: float) -> None:
-        """Let go of the line; an exchange that is not over is cancelled."""
+        """Release the connection, and cancel the attempt if it is not over."""
 
 
 def outcome_of(
     lost: ConnectionLost, connection: Connection, begun: bool, sent: bool, since_sent_s: float
 ) -> Outcome:
-    """What a connection that ended before the first event means for the request (RFC 9112 9.3.1, and the
-    platform's page: sent once more only if the router has not read it).
+    """Return the outcome of an attempt whose connection ended before the first event.
+
+    The request may be sent once more only if the router has not read it (RFC 9112 9.3.1, and the rules of
+    the platform).
     """
     if begun:
         return Outcome(OutcomeKind.MAY_HAVE_RUN, f"cut off before the first event: {lost.cause}", begun=True)
--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -30,7 +30,7 @@
         try:
             await self._virtual.send_all(data)
         except trio.ClosedResourceError:
-            raise ConnectionLost("closed here") from None
+            raise ConnectionLost("the connection was closed locally") from None
         except OSError as error:
             raise ConnectionLost(str(error.strerror).lower(), unread=True) from None
         self.all_sent = True
@@ -39,7 +39,7 @@
         try:
             return await self._virtual.recv()
         except trio.ClosedResourceError:
-            raise ConnectionLost("closed here") from None
+            raise ConnectionLost("the connection was closed locally") from None
         except OSError as error:
             raise ConnectionLost(str(error.strerror).lower(), unread=True) from None
 
