--- a/sorreldock/client/__init__.py
+++ b/sorreldock/client/__init__.py
@@ -1,6 +1,7 @@
-"""The client library: one call, one deadline, one retry at most, and no reconnection storm.
+"""The client library of sorreldock, with deadlines, budgeted retries and jittered reconnection.
 
-Needs `pip install sorreldock[client]` and imports nothing of the router. docs/client.md says what it decides.
+`Client` works under asyncio and trio; `blocking.Client` works without an event loop. Requires `pip install
+sorreldock[client]` and imports nothing of the router. docs/client.md describes what it decides.
 """
 
 from . import blocking
--- a/sorreldock/client/blocking.py
+++ b/sorreldock/client/blocking.py
@@ -1,4 +1,4 @@
-"""The same client for plain scripts: no event loop of the caller's, any number of threads."""
+"""The client with a blocking interface, for callers without an event loop and with any number of threads."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class Answer:
-    """An answer that has begun; iterate it for its events. As `sorreldock.client.Answer`, but blocking."""
+    """The blocking counterpart of `sorreldock.client.Answer`: an answer in progress, iterated for its events.
+
+    Iteration raises Broken if the answer is cut off, and ClientClosed if the client is closed.
+    """
 
     def __init__(self, portal: BlockingPortal, answer: asynchronous.Answer) -> None:
         self._portal, self._answer = portal, answer
@@ -37,7 +40,11 @@
 
 
 class Client:
-    """`sorreldock.client.Client` with blocking calls; its event loop runs in a thread of its own."""
+    """The blocking counterpart of `sorreldock.client.Client`, whose event loop runs in its own thread.
+
+    `routers`, `settings` and `protocol` are as there; `backend` is "asyncio" or "trio". Enter it with `with`;
+    its methods may then be called from any thread.
+    """
 
     def __init__(
         self,
@@ -54,8 +61,8 @@
         self._pid = os.getpid()
 
     def __enter__(self) -> Self:
-        # Not start_blocking_portal: it is a generator, which a forked child would run to its end when it
-        # is collected there, and wait for a thread that the child does not have.
+        # Not start_blocking_portal: it is a generator. When a forked child collects it, the generator runs to
+        # its end there and waits for a thread that the child does not have.
         started: Future[BlockingPortal] = Future()
 
         async def serve() -> None:
@@ -88,7 +95,10 @@
         self.close()
 
     def close(self) -> None:
-        """End all calls, in other threads too, and the loop. In a forked child it only lets go."""
+        """End all calls, those of other threads included (`ClientClosed`), and the event loop.
+
+        In a forked child it only closes the child's copies of the connections.
+        """
         if os.getpid() != self._pid:
             self._client._shared.pool.close_after_fork()
             self._portal = None
@@ -101,27 +111,36 @@
             self._thread.join()
 
     def _require_portal(self) -> BlockingPortal:
+        """Return the portal to the event loop; raise ClientClosed if the client can't be used."""
         if os.getpid() != self._pid:
-            raise ClientClosed(f"this client belongs to process {self._pid}: make one after the fork")
+            raise ClientClosed(f"the client belongs to process {self._pid}; create one after the fork")
         if self._portal is None:
             raise ClientClosed("the client is not open")
         return self._portal
 
     @contextmanager
     def stream(self, request: Request, timeout_s: float, *, resume: bool | None = None) -> Iterator[Answer]:
+        """Send a request and provide its answer from the first event on.
+
+        Raises the same errors as `sorreldock.client.Client.stream`.
+        """
         portal = self._require_portal()
         stream = self._client.stream(request, timeout_s, resume=resume)
         with portal.wrap_async_context_manager(stream) as answer:
             yield Answer(portal, answer)
 
     def ask(self, request: Request, timeout_s: float, *, resume: bool | None = None) -> asynchronous.Whole:
+        """Send a request and return the complete answer; raises as `stream` and iterating its answer do."""
+
         async def ask() -> asynchronous.Whole:
             return await self._client.ask(request, timeout_s, resume=resume)
 
         return self._require_portal().call(ask)
 
     def update_routers(self, routers: Iterable[str | Endpoint]) -> None:
+        """Replace the list of routers; calls in progress continue. Raises ValueError for an invalid list."""
         self._require_portal().call(self._client.update_routers, list(routers))
 
     def stats(self) -> Stats:
+        """Return the counters and histograms, which the client keeps updating."""
         return self._client.stats()
--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -333,5 +333,5 @@
 def deadline_after(timeout_s: float) -> Deadline:
     """Return the deadline that is `timeout_s` seconds ahead; raise ValueError for an invalid time-out."""
     if isinstance(timeout_s, bool) or not 0 < timeout_s < math.inf:
-        raise ValueError(f"timeout_s is not a positive number: {timeout_s!r}")
+        raise ValueError(f"timeout_s is not a finite, positive number: {timeout_s!r}")
     return Deadline(anyio.current_time() + timeout_s)
--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -1,4 +1,4 @@
-"""The client: one call, one deadline, one retry at most."""
+"""The public client and its answers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """A whole answer: its events in order, unchanged, and what it took."""
+    """A complete answer: its events in order and unchanged, and how it was obtained.
+
+    `attempts` and `retries` are how many there were, `router` is the address of the router that answered, and
+    `first_event_s` is the time from the call to the first event, in seconds.
+    """
 
     events: list[bytes]
     attempts: int
@@ -50,13 +54,16 @@
 
     @property
     def text(self) -> str:
-        """The text of the platform's events."""
+        """The text of the answer, read from the events of the platform's HTTP stream."""
         return "".join(map(text_of, self.events))
 
 
 class Answer:
-    """An answer that has begun. Iterate it for its events, each whole and unchanged, as they come; `Broken`
-    ends one that was cut off. `attempts`, `retries`, `router` say what it took.
+    """An answer in progress, iterated for its events, each complete and unchanged, as they arrive.
+
+    Iteration raises Broken if the answer is cut off, and ClientClosed if the client is closed. `resumed` says
+    whether the rest of a broken answer was asked for; `first_event_s` is the time from the call to the first
+    event, in seconds.
     """
 
     def __init__(self, client: Client, call: Call, request: Request, resume: bool) -> None:
@@ -84,7 +91,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the last event has been handed over and the answer ended as it should."""
+        """Whether the answer ended as it should and all its events have been returned."""
         return self._is_complete
 
     def __aiter__(self) -> Self:
@@ -110,14 +117,14 @@
             self._finish()
 
     async def next_event(self) -> bytes | None:
-        """The next event; None at the end of a whole answer."""
+        """Return the next event, or None at the end of a complete answer; raises as iteration does."""
         if self._first_event is not None:
             event, self._first_event = self._first_event, None
             return self._deliver(event)
         if self._is_complete:
             return None
         if self._call.exchange is None:
-            raise self._broken_error("the answer was left")
+            raise self._broken_error("the block of the answer was left")
         if (ready := self._call.exchange.buffered_event()) is not None:
             return self._deliver(ready)
         with anyio.CancelScope() as scope:
@@ -137,9 +144,9 @@
                 event = await exchange.next_event()
             if silence.cancelled_caught:
                 self._client._count_silent_router(self._call)
-                raise ConnectionLost(f"nothing came for {self._client.settings.silence_s:g} s")
+                raise ConnectionLost(f"nothing was received for {self._client.settings.silence_s:g} s")
         except ConnectionLost as lost:
-            self._call.release()  # the first is closed before anything asks for the rest
+            self._call.release()  # the first attempt is closed before the rest is asked for
             event = await self._resume_answer(lost)
         if event is None:
             self._finish()
@@ -147,6 +154,7 @@
         return self._deliver(event)
 
     async def _resume_answer(self, lost: ConnectionLost) -> bytes | None:
+        """Ask once for the rest of the answer, and return its first event; raise Broken if that fails."""
         call = self._call
         if not self._resume or self.resumed or not call.deadline.can_send_at(anyio.current_time()):
             raise self._broken_error(lost.cause)
@@ -159,7 +167,7 @@
         try:
             return await resumed_call.begin(make(self._request.body, list(self._received)), resumed=True)
         except ClientError as error:
-            raise self._broken_error(f"{lost.cause}; the rest was not had: {error.cause}") from error
+            raise self._broken_error(f"{lost.cause}; asking for the rest failed: {error.cause}") from error
         finally:
             resumed_call.retries = retries_before
 
@@ -184,11 +192,12 @@
 
 
 class Client:
-    """A client of one or more routers, for asyncio and trio alike.
+    """A client of one or more routers, for asyncio and trio alike, entered with `async with`.
 
-    `routers`: `host:port` texts, or `Endpoint`s with a zone. `protocol`: "http" (the platform's) or "kserve".
-    `timeout_s` of a call is one deadline, from the call to the first event: dialling, waiting and retries
-    included; after that a silence of `settings.silence_s` ends the answer.
+    `routers` are `host:port` strings, or `Endpoint`s with a zone; `protocol` is "http" (the platform's) or
+    "kserve". Invalid ones raise ValueError. The `timeout_s` of a call is one deadline in seconds for the
+    first event, with dialling, waiting and retries included. After the first event the answer is broken
+    when nothing arrives for `settings.silence_s`.
     """
 
     def __init__(
@@ -200,18 +209,21 @@
         observe: Callable[[str, str, float], None] | None = None,
         dial: Dial = dial,
     ) -> None:
-        """`rng` draws jitter and choices (seeded in tests). `observe` hears of connections: "opened",
-        "lost" or "dial failed", the router, and the moment on the event loop's clock.
+        """Create a client; connections are opened by its calls.
+
+        `rng` draws jitter and choices (seeded in tests). `observe` is called with "opened", "lost" or "dial
+        failed", the router's address, and the moment on the event loop's clock in seconds. `dial` opens
+        connections (replaced in simulations).
         """
         if protocol not in PROTOCOLS:
             raise ValueError(f"protocol is neither http nor kserve: {protocol!r}")
         self.settings = settings or ClientSettings()
         if protocol == "kserve" and self.settings.resume:
-            raise ValueError("KServe v2 has no way to ask for the rest of an answer: resume needs http")
+            raise ValueError("resume needs the http protocol: KServe v2 can't ask for the rest of an answer")
         self.protocol = protocol
         endpoints = [parse_endpoint(r) for r in routers]
         if not endpoints:
-            raise ValueError("no router is named")
+            raise ValueError("the list of routers is empty")
         s = self.settings
         self._rng = rng or random.Random(secrets.randbits(64))
         name = s.name or secrets.token_hex(8)
@@ -237,7 +249,7 @@
 
     async def __aenter__(self) -> Self:
         if self._group is not None or self._closed:
-            raise ClientClosed("a client is entered once")
+            raise ClientClosed("a client can be entered only once")
         self._group = anyio.create_task_group()
         await self._group.__aenter__()
         self._shared.pool.group = self._group
@@ -250,7 +262,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> bool | None:
-        if os.getpid() != self._pid:  # a forked child: the connections are the parent's
+        if os.getpid() != self._pid:  # in a forked child: the connections belong to the parent
             self._closed = True
             self._shared.pool.close_after_fork()
             return None
@@ -259,13 +271,13 @@
         if group is None:
             return None
         group.cancel_scope.cancel()
-        if isinstance(error, Exception):  # the caller's, which must not come out wrapped in a group
+        if isinstance(error, Exception):  # the caller's, which must not be wrapped in an exception group
             await group.__aexit__(None, None, None)
             return None
         return await group.__aexit__(kind, error, traceback)
 
     def close(self) -> None:
-        """End all calls (`ClientClosed`) and connections. Leaving the `async with` does it, too."""
+        """End all calls (with `ClientClosed`) and connections, as leaving the `async with` does."""
         self._closed = True
         for scope in list(self._scopes):
             scope.cancel()
@@ -275,14 +287,18 @@
     async def stream(
         self, request: Request, timeout_s: float, *, resume: bool | None = None
     ) -> AsyncIterator[Answer]:
-        """An answer whose first event has come. Leaving the block cancels what has not ended.
+        """Send a request and provide its answer from the first event on.
 
-        Raises Refused, Failed, DeadlineExceeded before the block; in it, iterating raises Broken.
+        Leaving the block cancels what is left of the answer. `resume` overrides `settings.resume`.
+
+        Raises Refused, Failed, DeadlineExceeded, or Broken for an answer that was cut off before its first
+        event; ClientClosed if the client is not open; ValueError for an invalid `timeout_s` or for `resume`
+        over KServe. In the block, iterating the answer raises Broken or ClientClosed.
         """
         self._check_usable()
         resume = self.settings.resume if resume is None else resume
         if resume and self.protocol != "http":
-            raise ValueError("KServe v2 has no way to ask for the rest of an answer: resume needs http")
+            raise ValueError("resume needs the http protocol: KServe v2 can't ask for the rest of an answer")
         call = Call(self._shared, request, deadline_after(timeout_s))
         stats = self._stats
         answer = Answer(self, call, request, resume)
@@ -303,16 +319,20 @@
                 stats.record(stats.answer_us, answer._ended_at - answer._started_at)
 
     async def ask(self, request: Request, timeout_s: float, *, resume: bool | None = None) -> Whole:
-        """The whole answer; raises as `stream` and its iteration do."""
+        """Send a request and return the complete answer; raises as `stream` and iterating its answer do."""
         async with self.stream(request, timeout_s, resume=resume) as answer:
             events = [event async for event in answer]
         return Whole(events, answer.attempts, answer.retries, answer.router, answer.first_event_s)
 
     def update_routers(self, routers: Iterable[str | Endpoint]) -> None:
-        """Take a new list of routers: calls in hand go on; what is known of those that stay is kept."""
+        """Replace the list of routers; calls in progress continue.
+
+        What the client has learned about routers that stay is kept. Raises ValueError for an empty list or a
+        malformed address.
+        """
         endpoints = [parse_endpoint(r) for r in routers]
         if not endpoints:
-            raise ValueError("no router is named")
+            raise ValueError("the list of routers is empty")
         removed = self._shared.picker.update(endpoints)
         for address in removed:
             self._shared.pauses.forget(address)
@@ -320,7 +340,7 @@
         self._shared.pool.notify_change()
 
     def stats(self) -> Stats:
-        """The counters and histograms, live."""
+        """Return the counters and histograms, which the client keeps updating."""
         self._stats.retry_limit = self._shared.budget.limit
         return self._stats
 
@@ -331,15 +351,16 @@
 
     def _check_usable(self) -> None:
         if os.getpid() != self._pid:
-            raise ClientClosed(f"this client belongs to process {self._pid}: make one after the fork")
+            raise ClientClosed(f"the client belongs to process {self._pid}; create one after the fork")
         if self._closed or self._group is None:
-            raise ClientClosed("the client is closed" if self._closed else "the client is not entered")
+            raise ClientClosed("the client is closed" if self._closed else "the client has not been entered")
 
     def _raise_if_closed(self, scope: anyio.CancelScope) -> None:
         if scope.cancelled_caught or self._closed:
-            raise ClientClosed("the client was closed while the call was open", may_have_run=True)
+            raise ClientClosed("the client was closed during the call", may_have_run=True)
 
     def _count_silent_router(self, call: Call) -> None:
+        """Record a failure of the router that stopped sending within an answer."""
         router = self._shared.picker.routers.get(call.router)
         if router is not None:
             self._shared.picker.record_failure(router, anyio.current_time())
--- a/sorreldock/client/command.py
+++ b/sorreldock/client/command.py
@@ -1,4 +1,4 @@
-"""`sorreldock ask`: the library at a terminal."""
+"""The `sorreldock ask` command, which sends one request with the client library."""
 
 from __future__ import annotations
 
@@ -17,18 +17,13 @@
 from .client import Answer, Client
 from .types import Broken, ClientError, ClientSettings, DeadlineExceeded, Refused, Request, text_of
 
-EXIT_STATUSES = {
-    "answered": 0,
-    "refused": 3,
-    "failed": 4,
-    "broken": 5,
-    "deadline": 6,
-}  # 2 is a wrong command line
+# By outcome; 2 is left for an invalid command line.
+EXIT_STATUSES = {"answered": 0, "refused": 3, "failed": 4, "broken": 5, "deadline": 6}
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """The words of an `ask` command line."""
+    """The parsed command line of `ask`."""
 
     routers: list[str]
     request: Request
@@ -39,6 +34,7 @@
 
 
 def chat_body(model: str, prompt: str, max_output_tokens: int) -> bytes:
+    """Return the JSON body of a streamed chat request; `max_output_tokens` of 0 sets no limit."""
     chat: dict[str, Any] = {"model": model, "stream": True}
     if max_output_tokens:
         chat["max_tokens"] = max_output_tokens
@@ -47,7 +43,7 @@
 
 
 def event_text(event: bytes, protocol: str) -> str:
-    """The text that an event adds, on either protocol."""
+    """Return the text that an event adds to the answer."""
     if protocol == "http":
         return text_of(event)
     answer = pb.ModelStreamInferResponse.FromString(event).infer_response
@@ -56,6 +52,7 @@
 
 
 def outcome_name(error: ClientError) -> str:
+    """Return the name under which the command reports an error, a key of `EXIT_STATUSES`."""
     if isinstance(error, Refused):
         return "refused"
     if isinstance(error, DeadlineExceeded):
@@ -64,7 +61,7 @@
 
 
 class Screen:
-    """What the person or the program at the other end sees."""
+    """The command's output: the answer's text, or with `as_json` a JSON record for each event."""
 
     def __init__(self, ask: Ask) -> None:
         self.ask = ask
@@ -73,16 +70,17 @@
         self.console = Console(stderr=True)
 
     def record(self, **fields: Any) -> None:
+        """Print a JSON record with these fields and the seconds since the start."""
         at = round(time.monotonic() - self.since, 4)
         print(json.dumps({"at_s": at, **fields}), flush=True)
 
     @contextlib.contextmanager
     def waiting(self) -> Iterator[None]:
-        """A spinner on a terminal, nothing in a pipe."""
+        """Show a spinner while the block runs, if standard error is a terminal."""
         if self.ask.as_json or not sys.stderr.isatty():
             yield
             return
-        with self.console.status("asking ..."):
+        with self.console.status("waiting for the answer ..."):
             yield
 
     def event(self, event: bytes, answer: Answer) -> None:
@@ -132,5 +130,5 @@
 
 
 def run(ask: Ask) -> int:
-    """The command's exit status. ValueError for settings that make no sense."""
+    """Run the command and return its exit status; raise ValueError for invalid arguments."""
     return anyio.run(_ask, ask, backend="trio")
--- a/sorreldock/client/stats.py
+++ b/sorreldock/client/stats.py
@@ -1,4 +1,4 @@
-"""Counters and HDR histograms of one client."""
+"""The counters and HDR histograms of one client."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 
 @dataclass
 class Stats:
-    """What a client has done since it was made. Histograms hold microseconds, with three significant
-    digits.
+    """The counters and histograms of a client since its creation.
+
+    Histograms (`*_us`) hold microseconds with three significant digits.
     """
 
     requests: int = 0
     first_sends: int = 0
     retries: int = 0
     resends: int = 0  # of requests that no router had read, on another connection
-    resumes: int = 0
-    retry_limit: int = 0  # the most retries that the budget could have allowed
-    refusals_honoured: int = 0  # waited for and tried again
-    refusals_surfaced: int = 0  # told to the caller
-    pauses_kept: int = 0  # calls held back because a router had asked for a pause
+    resumes: int = 0  # requests for the rest of a broken answer
+    retry_limit: int = 0  # the maximum number of retries that the budget could have allowed
+    refusals_honoured: int = 0  # refusals after which the client waited and retried
+    refusals_surfaced: int = 0  # refusals raised to the caller
+    pauses_kept: int = 0  # calls delayed because the routers had asked for a pause
     connections_opened: int = 0
-    connections_lost: int = 0  # ended by a router between answers
+    connections_lost: int = 0  # ended by a router, or announced to end
     dials_failed: int = 0
     answered: int = 0
     refused: int = 0
@@ -46,13 +47,18 @@
 
     @staticmethod
     def record(histogram: HdrHistogram, seconds: float) -> None:
+        """Record a duration in a histogram of microseconds, within its range."""
         histogram.record_value(min(max(int(seconds * 1e6), 1), MAX_RECORDED_US))
 
     def counters(self) -> dict[str, int]:
+        """Return the counters by name, without the histograms."""
         return {f.name: v for f in fields(self) if isinstance(v := getattr(self, f.name), int)}
 
     def as_dict(self) -> dict[str, object]:
-        """For JSON: the counters, and of each histogram count, p50, p95, p99 and max in seconds."""
+        """Return a dict for JSON: the counters, and a `summary` of each histogram.
+
+        A histogram's key ends in `_s` in place of `_us`.
+        """
         result: dict[str, object] = dict(self.counters())
         for f in fields(self):
             value = getattr(self, f.name)
@@ -62,6 +68,7 @@
 
 
 def summary(histogram: HdrHistogram) -> dict[str, float]:
+    """Return the count, p50, p95, p99 and max of a histogram, in seconds; the count alone if it is 0."""
     if not histogram.total_count:
         return {"count": 0}
     value_at = histogram.get_value_at_percentile
--- a/sorreldock/client/types.py
+++ b/sorreldock/client/types.py
@@ -1,4 +1,4 @@
-"""What callers of the library handle: requests, settings, errors."""
+"""The public types of the client library: requests, settings and errors."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .policy.picker import Endpoint, PickRules
 from .policy.reconnect import ReconnectRules
 
-MAX_BODY_BYTES = 256 * 1024  # bytes; the routers take no more
+MAX_BODY_BYTES = 256 * 1024  # the routers' limit
 NAME_PATTERN = re.compile(r"[\x21-\x7e](?:[\x20-\x7e]{0,198}[\x21-\x7e])?")
 PREFIX_PATTERN = re.compile(r"[^,]*")
 PROTOCOLS = ("http", "kserve")
@@ -19,11 +19,12 @@
 
 
 class ClientError(Exception):
-    """A call had no whole answer.
+    """A call ended without a complete answer; the base class of all errors of a call.
 
-    Attributes: `cause` (a few words), `may_have_run` (whether an engine may have run the request),
-    `retry_after_s` (the router's advice in seconds, from now; None without one), `attempts`, `retries`,
-    `router` (the last one asked; "" if none was).
+    Attributes: `cause` (a short description), `may_have_run` (whether a server may have run the request),
+    `retry_after_s` (the delay from now that the router advises before a retry, in seconds; None without
+    advice), `attempts` and `retries` (how many there were), `router` (the address of the last router that
+    got an attempt; "" for none).
     """
 
     def __init__(
@@ -45,29 +46,29 @@
     def __str__(self) -> str:
         parts = [self.cause]
         if self.retry_after_s is not None:
-            parts.append(f"come again in {self.retry_after_s:.3g} s")
+            parts.append(f"retry after {self.retry_after_s:.3g} s")
         if self.may_have_run:
             parts.append("the request may have run")
         return "; ".join(parts)
 
 
 class Refused(ClientError):
-    """The router turned the request away: trying again later is harmless.
+    """The router refused the request, which did not run; a later retry is harmless.
 
-    `may_have_run` is true alone where an attempt before it, of a class declared safe to repeat, may have.
+    `may_have_run` is true only if an earlier attempt, of a class declared safe to repeat, may have run.
     """
 
 
 class Failed(ClientError):
-    """No answer began, for another reason than the deadline."""
+    """The call failed before an answer began, for a reason other than a refusal or the deadline."""
 
 
 class DeadlineExceeded(ClientError):
-    """No event came before the caller's deadline, or none could have."""
+    """No event arrived before the caller's deadline, or none could have."""
 
 
 class Broken(ClientError):
-    """The answer was cut off after it had begun. `received` holds the events that came, in order."""
+    """The answer was cut off after it had begun; `received` holds the events that arrived, in order."""
 
     def __init__(self, cause: str, received: list[bytes], **words: object) -> None:
         super().__init__(cause, may_have_run=True, **words)  # type: ignore[arg-type]
@@ -75,12 +76,12 @@
 
 
 class ClientClosed(Failed):
-    """The client was closed while the call was open, or belongs to another process."""
+    """The client is closed, was closed during the call, is not entered yet, or belongs to another process."""
 
 
 def _check_name(value: str, field_name: str, is_required: bool = False) -> None:
     if not isinstance(value, str):
-        raise ValueError(f"{field_name} is not a text: {value!r}")
+        raise ValueError(f"{field_name} is not a string: {value!r}")
     if not value and not is_required:
         return
     if not NAME_PATTERN.fullmatch(value):
@@ -89,9 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request. Lengths are in tokens, 0 for unknown; `body` is JSON over HTTP, and the model's input over
-    KServe. `rest` makes the body that asks for the rest of a broken answer from the first body and the events
-    that came (default: `rest_of`). ValueError for what no router could read.
+    """A request, checked at its creation; ValueError for one that no router could read.
+
+    `body` is JSON over HTTP, and the model's input over KServe. The lengths (`*_tokens`) are in tokens, 0 for
+    unknown. `rest` is a function that returns the body of the request for the rest of a broken answer, given
+    `body` and the events received (default: `rest_of`).
     """
 
     rpc_class: str
@@ -102,7 +105,7 @@
     prompt_tokens: int = 0
     prefix_tokens: int = 0
     max_output_tokens: int = 0
-    model: str = "desc"  # KServe's model name; HTTP names it in the body
+    model: str = "desc"  # KServe's model name; over HTTP the body names the model
     rest: MakeRest | None = None
 
     def __post_init__(self) -> None:
@@ -110,19 +113,19 @@
         for name in ("tenant", "session", "prefix", "model"):
             _check_name(getattr(self, name), name)
         if not PREFIX_PATTERN.fullmatch(self.prefix):
-            raise ValueError(f"prefix holds a comma: {self.prefix[:40]!r}")
+            raise ValueError(f"prefix contains a comma: {self.prefix[:40]!r}")
         for name in ("prompt_tokens", "prefix_tokens", "max_output_tokens"):
             value = getattr(self, name)
             if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < 10**9:
-                raise ValueError(f"{name} is not a whole number from 0 to 999999999: {value!r}")
+                raise ValueError(f"{name} is not an integer from 0 to 999999999: {value!r}")
         if not isinstance(self.body, bytes):
             raise ValueError("body is not bytes")
         if len(self.body) > MAX_BODY_BYTES:
-            raise ValueError(f"body holds {len(self.body)} bytes, more than {MAX_BODY_BYTES}")
+            raise ValueError(f"body has {len(self.body)} bytes, more than {MAX_BODY_BYTES}")
 
 
 def text_of(event: bytes) -> str:
-    """The text that an event of the platform's stream adds; "" for events that add none."""
+    """Return the text that an event of the platform's HTTP stream adds to the answer; "" for none."""
     parts = []
     for line in event.splitlines():
         if not line.startswith(b"data: {"):
@@ -136,8 +139,10 @@
 
 
 def rest_of(body: bytes, received: list[bytes]) -> bytes:
-    """The body that asks for the rest: a chat's with what came as the assistant's beginning; any other as it
-    was, since the service then knows the request by its session.
+    """Return the body of the request for the rest of a broken answer.
+
+    A chat gets the text received so far as an assistant's message. Any other body, and one that would become
+    too large, is returned unchanged, since the service then identifies the request by its session.
     """
     try:
         chat = json.loads(body)
@@ -154,31 +159,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """How a client behaves; times in seconds. ValueError for what makes no sense."""
+    """The settings of a client, times in seconds; ValueError for invalid values."""
 
-    max_retries: int = 1
-    safe_classes: Collection[str] = ()  # that may run twice; else what may have run is never repeated
-    retry_share: float = 0.2  # tokens of the retry budget that a first send adds
+    max_retries: int = 1  # of a call
+    safe_classes: Collection[str] = ()  # that may run twice; others are not repeated if they may have run
+    retry_share: float = 0.2  # tokens that each first send adds to the retry budget
     retry_reserve: float = 3.0  # tokens at the start
-    retry_burst: float = 10.0  # tokens at most
-    retry_pause_s: float = 0.25  # after a refusal without advice
-    resume: bool = False  # ask for the rest of a broken answer (HTTP, where the service lets clients)
-    name: str = ""  # draws the subset; "": drawn at random
-    zone: str = ""  # the client's own; routers of it come first
+    retry_burst: float = 10.0  # maximum of tokens
+    retry_pause_s: float = 0.25  # after a failure or a refusal without advice: 1 to 3 times this, drawn
+    resume: bool = False  # whether to ask for the rest of a broken answer (HTTP, where the service allows it)
+    name: str = ""  # determines the subset of routers; "" for a random name
+    zone: str = ""  # the client's own zone, whose routers come first
     pick: PickRules = field(default_factory=PickRules)
     reconnect: ReconnectRules = field(default_factory=ReconnectRules)
     max_connections: int = 64  # to one router
     dial_timeout_s: float = 2.0
-    idle_s: float = 4.0  # connections at rest are closed then: below the 5 s of the routers
-    silence_s: float = 5.0  # within an answer; longer, and the router or its machine is taken for gone
-    ping_s: float = 2.0  # KServe: a quiet busy connection is pinged; unanswered as long again, it ends
-    longest_pause_s: float = 60.0  # that a router's advice may ask of other calls
+    idle_s: float = 4.0  # after which idle connections are closed, below the routers' 5 s; KServe: 8 times
+    silence_s: float = 5.0  # longest time between events of an answer; then the router counts as failed
+    ping_s: float = 2.0  # KServe: time without data after which a busy connection is pinged, and then closed
+    longest_pause_s: float = 60.0  # bound for the pause of other calls that a router's advice asks for
     largest_event: int = 1024 * 1024  # bytes
 
     def __post_init__(self) -> None:
         retries = self.max_retries
         if isinstance(retries, bool) or not isinstance(retries, int) or retries < 0:
-            raise ValueError(f"max_retries is not a whole number from 0 on: {retries!r}")
+            raise ValueError(f"max_retries is not a non-negative integer: {retries!r}")
         for name in (
             "retry_share",
             "retry_reserve",
@@ -188,15 +193,15 @@
         ):
             value = getattr(self, name)
             if not 0 <= value < math.inf:
-                raise ValueError(f"{name} is not a number from 0 on: {value!r}")
+                raise ValueError(f"{name} is not a finite, non-negative number: {value!r}")
         for name in ("dial_timeout_s", "idle_s", "silence_s", "ping_s", "max_connections", "largest_event"):
             value = getattr(self, name)
             if not 0 < value < math.inf:
-                raise ValueError(f"{name} is not a positive number: {value!r}")
+                raise ValueError(f"{name} is not a finite, positive number: {value!r}")
 
 
 def parse_endpoint(router: str | Endpoint) -> Endpoint:
-    """`host:port`, or `[v6]:port`, checked; ValueError says what is wrong."""
+    """Return the endpoint of `host:port` or `[v6]:port`; raise ValueError if it is malformed."""
     checked = router if isinstance(router, Endpoint) else Endpoint(router)
     host, _, port = checked.address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -339,7 +339,7 @@
 
     with hosted(Stub(stops).on()) as stub:
         async with Client([stub.address], ClientSettings(silence_s=0.2)) as client:
-            with pytest.raises(Broken, match="nothing came"):
+            with pytest.raises(Broken, match="nothing was received"):
                 await client.ask(ASK, 2.0)
 
     async def gone(stub: Stub, stream: Any) -> None:
