--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -1,4 +1,7 @@
-"""For tests of the client library: peers in a trio thread of their own, beside a client on any loop."""
+"""Scripted and real routers for tests of the client library.
+
+They run in the trio loop of the main thread, while the client under test runs in another thread on any loop.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from sorreldock.client import Request
 
 T = TypeVar("T")
-ASK = Request(
+REQUEST = Request(
     rpc_class="alt-text",
     tenant="acme",
     body=b'{"messages":[]}',
@@ -41,14 +44,14 @@
 
 
 class Host:
-    """The trio loop of the main thread, where the program's signals need it; tests run in another thread."""
+    """The trio loop of the main thread, where the router needs it for signals; tests run in another thread."""
 
     token: trio.lowlevel.TrioToken
     nursery: trio.Nursery
 
 
 def beside_host(test: Callable[..., None]) -> Callable[..., None]:
-    """A blocking test that may use `hosted`."""
+    """Decorate a blocking test that uses `hosted`: run it in a thread beside the host's loop."""
 
     @wraps(test)
     def run(**fixtures: Any) -> None:
@@ -64,56 +67,59 @@
 
 
 @contextmanager
-def hosted(made: AbstractAsyncContextManager[T]) -> Iterator[T]:
-    """Enter this in the host's loop, and leave it there at the end."""
-    ready, done = threading.Event(), threading.Event()
+def hosted(context: AbstractAsyncContextManager[T]) -> Iterator[T]:
+    """Enter this context in the host's loop, and leave it there at the end."""
+    started, done = threading.Event(), threading.Event()
     stop = trio.Event()
-    box: dict[str, Any] = {}
+    result: dict[str, Any] = {}
 
-    async def hold() -> None:
+    async def run_context() -> None:
         try:
-            async with made as value:
-                box["value"] = value
-                ready.set()
+            async with context as value:
+                result["value"] = value
+                started.set()
                 await stop.wait()
         except Exception as error:
-            box["error"] = error
+            result["error"] = error
         finally:
-            ready.set()
+            started.set()
             done.set()
 
-    Host.token.run_sync_soon(Host.nursery.start_soon, hold)
-    assert ready.wait(20)
+    Host.token.run_sync_soon(Host.nursery.start_soon, run_context)
+    assert started.wait(20)
     try:
-        if "value" not in box:
-            raise AssertionError(f"the peer did not start: {box.get('error')!r}")
-        yield box["value"]
+        if "value" not in result:
+            raise AssertionError(f"the peer did not start: {result.get('error')!r}")
+        yield result["value"]
     finally:
         Host.token.run_sync_soon(stop.set)
         assert done.wait(20)
-    if "error" in box:
-        raise box["error"]
+    if "error" in result:
+        raise result["error"]
 
 
 def router(engine: SharedEngine, **options: Any) -> AbstractAsyncContextManager[Any]:
-    """The real program before this engine, on both protocols."""
+    """Return a context of the real router in front of this server, on both protocols."""
     return among(engine, operator=BOTH, **options)
 
 
 class Stub(Peer):
-    """A router that follows a script for each connection; requests are read whole by `request`."""
+    """A router that follows a script for each connection; the last script serves all further ones.
+
+    `heads` and `times` hold the head and the arrival time of each request.
+    """
 
     def __init__(self, *scripts: Callable[[Stub, Any], Awaitable[None]]) -> None:
         super().__init__()
         self.scripts = list(scripts)
         self.heads: list[bytes] = []
         self.times: list[float] = []
-        self.most_open = self._open = 0
+        self.max_open = self._open = 0
 
     async def attend(self, stream: Any) -> None:
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         self._open += 1
-        self.most_open = max(self.most_open, self._open)
+        self.max_open = max(self.max_open, self._open)
         try:
             async with stream:
                 await script(self, stream)
@@ -121,14 +127,14 @@
             self._open -= 1
 
     async def request(self, stream: Any) -> bytes:
-        """The next whole request; b"" when the client has left."""
-        data = b""
-        while b"\r\n\r\n" not in data:
-            more = bytes(await stream.receive_some(65536))
-            if not more:
+        """Read the next whole request and return its head; b"" when the client has closed the connection."""
+        received = b""
+        while b"\r\n\r\n" not in received:
+            chunk = bytes(await stream.receive_some(65536))
+            if not chunk:
                 return b""
-            data += more
-        head, _, rest = data.partition(b"\r\n\r\n")
+            received += chunk
+        head, _, rest = received.partition(b"\r\n\r\n")
         length = next(int(h[15:]) for h in head.lower().split(b"\r\n") if h.startswith(b"content-length:"))
         while len(rest) < length:
             rest += bytes(await stream.receive_some(65536))
@@ -143,17 +149,17 @@
 
 
 def answers(*replies: bytes) -> Callable[[Stub, Any], Awaitable[None]]:
-    """One reply a request; the last one goes on for ever."""
+    """Return a script that sends one reply per request; the last reply serves all further ones."""
 
     async def script(stub: Stub, stream: Any) -> None:
-        left = list(replies)
+        remaining = list(replies)
         while await stub.request(stream):
-            await stream.send_all(left.pop(0) if len(left) > 1 else left[0])
+            await stream.send_all(remaining.pop(0) if len(remaining) > 1 else remaining[0])
 
     return script
 
 
-def field(head: bytes, name: str) -> str:
+def header(head: bytes, name: str) -> str:
     for line in head.decode().split("\r\n"):
         if line.lower().startswith(name.lower() + ":"):
             return line.partition(":")[2].strip()
@@ -161,7 +167,7 @@
 
 
 def on_both(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """A test that runs under asyncio and under trio, and fails rather than hangs."""
+    """Decorate a test to run under asyncio and under trio, with a limit of 20 s instead of a hang."""
 
     @pytest.mark.parametrize("backend", ["asyncio", "trio"])
     @wraps(test)
@@ -172,6 +178,6 @@
 
         beside_host(lambda: anyio.run(limited, backend=backend))()
 
-    own = list(signature(test).parameters.values())
-    run.__signature__ = Signature([*own, Parameter("backend", Parameter.KEYWORD_ONLY)])  # type: ignore[attr-defined]
+    test_parameters = list(signature(test).parameters.values())
+    run.__signature__ = Signature([*test_parameters, Parameter("backend", Parameter.KEYWORD_ONLY)])  # type: ignore[attr-defined]
     return run
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -1,4 +1,4 @@
-"""The client's decisions, to their edges: no I/O, no clock."""
+"""Tests of the client's decisions and their edge cases, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 RAN = Outcome(OutcomeKind.MAY_HAVE_RUN, "reset")
 
 
-def test_what_is_told_of_the_deadline_is_what_is_left_less_the_way() -> None:
+def test_the_deadline_sent_is_the_remaining_time_less_the_round_trip() -> None:
     deadline = Deadline(10.0, min_s=0.01)
     assert deadline.time_to_send(8.0, 0.5) == pytest.approx(1.5)
     assert deadline.time_to_send(9.48, 0.5) == pytest.approx(0.02)
@@ -31,7 +31,7 @@
     assert not deadline.can_send_at(11.0)
 
 
-def test_the_way_is_learned_and_bounded() -> None:
+def test_a_duration_estimate_follows_its_samples_and_is_bounded() -> None:
     estimate = DurationEstimate(max_s=1.0)
     assert estimate.estimate_s == 0.0
     estimate.add_sample(0.3)
@@ -70,12 +70,12 @@
         ("Mon, 99 Dec 2025 11:00:00 GMT", None),
     ],
 )
-def test_retry_after(text: str | None, seconds: float | None) -> None:
+def test_parsing_retry_after(text: str | None, seconds: float | None) -> None:
     assert parse_retry_after(text, WALL) == seconds
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         (None, (None, False)),
         ("0", (0.0, False)),
@@ -85,36 +85,38 @@
         ("1.5", (None, True)),
     ],
 )
-def test_pushback(text: str | None, said: tuple[float | None, bool]) -> None:
-    assert parse_pushback(text) == said
+def test_parsing_a_pushback(text: str | None, expected: tuple[float | None, bool]) -> None:
+    assert parse_pushback(text) == expected
 
 
 @given(st.floats(0, 100), st.floats(0, 50), st.floats(0, 0.999), st.floats(0, 200))
-def test_nobody_returns_early(now: float, advice: float, draw: float, latest: float) -> None:
+def test_a_retry_is_never_before_the_advised_moment(
+    now: float, advice: float, draw: float, latest: float
+) -> None:
     at = retry_time(now, advice, draw, latest)
     assert (at is None) == (now + advice > latest)
     assert at is None or now + advice <= at <= latest
 
 
-def test_pauses_are_kept_by_router_and_class_and_end() -> None:
+def test_pauses_are_kept_by_router_and_class_until_they_end() -> None:
     pauses = Pauses(max_pause_s=10.0, max_entries=2)
     pauses.add("a", "x", 0.0, 3.0)
-    pauses.add("a", "x", 0.0, 1.0)  # an earlier end does not shorten it
+    pauses.add("a", "x", 0.0, 1.0)  # an earlier end does not shorten the pause
     assert pauses.remaining_s("a", "x", 1.0) == 2.0
     assert pauses.remaining_s("a", "y", 1.0) == pauses.remaining_s("b", "x", 1.0) == 0.0
     pauses.add("b", "x", 0.0, 9e9)
     assert pauses.remaining_s("b", "x", 0.0) == 10.0
-    assert pauses.remaining_s("b", "x", -1e6) == 10.0  # a clock that stepped back makes none endless
+    assert pauses.remaining_s("b", "x", -1e6) == 10.0  # a clock that stepped back makes no pause endless
     pauses.add("c", "x", 0.0, 5.0)
     assert len(pauses) == 2
-    pauses.add("c", "x", 50.0, 5.0)  # what has ended makes room
+    pauses.add("c", "x", 50.0, 5.0)  # pauses that have ended are removed
     assert len(pauses) == 1
     pauses.forget("c")
     assert len(pauses) == 0
 
 
 def after(outcome: Outcome, **changes: object) -> Decision:
-    words: dict[str, object] = {
+    arguments: dict[str, object] = {
         "rpc_class": "alt-text",
         "retries": 0,
         "resends": 0,
@@ -126,10 +128,10 @@
     }
     rules = changes.pop("rules", RetryRules())
     assert isinstance(rules, RetryRules)
-    return rules.after(outcome, **{**words, **changes})  # type: ignore[arg-type]
+    return rules.after(outcome, **{**arguments, **changes})  # type: ignore[arg-type]
 
 
-def test_only_what_is_safe_is_retried() -> None:
+def test_only_outcomes_that_are_safe_to_repeat_are_retried() -> None:
     assert after(REFUSED).next_step is NextStep.RETRY and after(REFUSED).at > 1.0
     assert after(Outcome(OutcomeKind.NEVER_RAN, "")) == Decision(NextStep.RETRY, 1.0)
     assert after(RAN).next_step is NextStep.GIVE_UP
@@ -141,7 +143,7 @@
     assert after(Outcome(OutcomeKind.REFUSED, "", retry_forbidden=True)).next_step is NextStep.GIVE_UP
 
 
-def test_a_retry_needs_one_left_a_token_and_time() -> None:
+def test_a_retry_needs_a_retry_left_a_token_and_time() -> None:
     assert after(REFUSED, retries=1).reason == "no retry is left"
     assert after(REFUSED, rules=RetryRules(max_retries=0)).reason == "no retry is left"
     assert after(REFUSED, budget=RetryBudget(reserve=0.0)).reason == "the retry budget is spent"
@@ -151,7 +153,7 @@
     assert after(Outcome(OutcomeKind.REFUSED, "", 2.0), draw=0.0).at == 3.0
 
 
-def test_what_a_kept_connection_never_delivered_is_sent_once_more_without_a_retry() -> None:
+def test_a_request_undelivered_on_a_kept_connection_is_resent_once_without_a_retry() -> None:
     stale = Outcome(OutcomeKind.NEVER_RAN, "", stale=True)
     assert after(stale, rules=RetryRules(max_retries=0)).next_step is NextStep.RESEND
     assert after(stale, rules=RetryRules(max_retries=0), resends=1).next_step is NextStep.GIVE_UP
@@ -159,7 +161,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=300))
-def test_retries_never_pass_the_limit(sends: list[bool]) -> None:
+def test_retries_never_exceed_the_budgets_limit(sends: list[bool]) -> None:
     budget = RetryBudget(share=0.2, reserve=3, max_tokens=10)
     for retry in sends:
         if retry:
@@ -169,7 +171,7 @@
         assert budget.retries <= budget.limit
 
 
-def test_a_token_given_back_can_be_taken_again() -> None:
+def test_a_refunded_token_can_be_taken_again() -> None:
     budget = RetryBudget(share=0.0, reserve=1.0)
     assert budget.take() and not budget.take()
     budget.refund()
@@ -179,23 +181,25 @@
 # Reconnection.
 
 
-def test_a_loss_makes_the_next_dial_wait_for_its_turn_and_a_crowd_spreads() -> None:
+def test_a_loss_delays_the_next_dial_and_spreads_the_dials_of_many_clients() -> None:
     rng = random.Random(1)
     turns = []
     for _ in range(2000):
         gate = ReconnectGate(ReconnectRules())
-        assert gate.next_dial_time(0.0, 10.0, 0, False) == 0.0  # nothing was lost: at once
+        assert gate.next_dial_time(0.0, 10.0, 0, False) == 0.0  # at once before a loss
         gate.connection_lost(0.0, rng.random(), idle=False)
         at = gate.next_dial_time(0.0, 30.0, 0, False)
         assert at is not None and at > 0
         turns.append(at)
-        assert gate.connection_lost(0.1, rng.random(), idle=True) is None  # one deploy, one turn
+        assert (
+            gate.connection_lost(0.1, rng.random(), idle=True) is None
+        )  # the losses of one deploy start one backoff
     turns.sort()
     assert turns[1900] - turns[100] > 3.5
     assert max(sum(t <= x < t + 0.1 for x in turns) for t in turns) < 2000 / 10
 
 
-def test_short_deadlines_are_spread_within_their_own_time() -> None:
+def test_dials_of_requests_with_short_deadlines_are_spread_before_them() -> None:
     for draw in (0.0, 0.3, 0.999):
         gate = ReconnectGate(ReconnectRules())
         gate.connection_lost(0.0, draw, idle=False)
@@ -204,7 +208,7 @@
     assert gate.next_dial_time(1.1, 1.0, 0, False) is None
 
 
-def test_failures_widen_the_turns_and_a_dial_that_comes_up_ends_them() -> None:
+def test_failed_dials_widen_the_backoff_and_a_successful_one_ends_it() -> None:
     gate = ReconnectGate(ReconnectRules())
     gate.connection_lost(0.0, 0.5, idle=False)
     delays = [gate.dial_failed(0.0, 0.999) for _ in range(30)]
@@ -212,18 +216,18 @@
     assert delays[-1] is not None and delays[-1] <= 20.0
     gate.dial_succeeded(0.0)
     assert not gate.is_backing_off
-    at = gate.next_dial_time(0.0, 10.0, 0, False)  # calls that waited together share the connection
+    at = gate.next_dial_time(0.0, 10.0, 0, False)  # calls that waited share the new connection
     assert at == pytest.approx(1.0)
 
 
-def test_other_routers_may_be_dialled_while_the_turn_is_awaited_if_they_are_alive() -> None:
+def test_routers_with_a_live_connection_may_be_dialled_during_the_backoff() -> None:
     gate = ReconnectGate(ReconnectRules())
     gate.connection_lost(0.0, 0.9, idle=False)
     assert gate.next_dial_time(0.0, 10.0, 0, True) == 0.0
-    assert gate.next_dial_time(0.0, 10.0, 0, True) == pytest.approx(1.0)  # within a small rate
+    assert gate.next_dial_time(0.0, 10.0, 0, True) == pytest.approx(1.0)  # at a small rate
 
 
-def test_dials_that_fail_without_a_loss_keep_to_a_small_rate() -> None:
+def test_dials_that_fail_without_a_loss_are_limited_to_a_small_rate() -> None:
     gate = ReconnectGate(ReconnectRules())
     at_once = 0
     while gate.next_dial_time(0.0, 1.0, 0, False) == 0.0:
@@ -232,7 +236,7 @@
     assert at_once == 4
 
 
-def test_lost_idle_connections_come_back_late_and_one_by_one() -> None:
+def test_lost_idle_connections_are_reopened_after_the_backoff_one_by_one() -> None:
     gate = ReconnectGate(ReconnectRules())
     gate.connection_lost(0.0, 0.5, idle=True)
     gate.connection_lost(0.0, 0.5, idle=True)
@@ -242,18 +246,18 @@
     assert gate.reopens_due == 1
 
 
-def test_a_clock_that_steps_back_neither_fills_nor_empties_a_rate() -> None:
+def test_a_clock_that_steps_back_neither_fills_nor_empties_a_token_bucket() -> None:
     rate = TokenBucket(1.0, 1)
     assert rate.take(100.0) and not rate.take(50.0) and not rate.take(50.5)
     assert rate.take(51.5)
 
 
-# Which router.
+# The choice of a router.
 
 FLEET = [Endpoint(f"10.0.0.{n}:3000", zone=f"z{n % 3}") for n in range(30)]
 
 
-def test_subsets_are_stable_spread_and_prefer_the_own_zone() -> None:
+def test_subsets_are_stable_balanced_and_prefer_the_own_zone() -> None:
     mine = choose_subset("me", FLEET, 6, "z1")
     assert mine == choose_subset("me", list(reversed(FLEET)), 6, "z1")
     assert [e.zone == "z1" for e in mine] == [True] * 5 + [False]
@@ -263,45 +267,47 @@
     for n in range(600):
         for e in choose_subset(f"c{n}", FLEET, 6, ""):
             counts[e] += 1
-    assert min(counts.values()) > 80 and max(counts.values()) < 165  # 120 on the mean
+    assert min(counts.values()) > 80 and max(counts.values()) < 165  # the mean is 120
     assert choose_subset("me", FLEET, 0, "") and len(choose_subset("me", FLEET[:2], 8, "")) == 2
 
 
-def picked(picker: Picker, now: float = 0.0, draws: tuple[float, float] = (0.0, 0.0), **words: object) -> str:
-    paused = words.get("paused", set())
-    got = picker.pick(
+def pick_address(
+    picker: Picker, now: float = 0.0, draws: tuple[float, float] = (0.0, 0.0), **arguments: object
+) -> str:
+    paused = arguments.get("paused", set())
+    result = picker.pick(
         now,
         draws,
         lambda r: r.address in paused,
         lambda r: False,
-        words.get("avoid", ()),  # type: ignore[operator,arg-type]
+        arguments.get("avoid", ()),  # type: ignore[operator,arg-type]
     )
-    return got.address if got else ""
+    return result.address if result else ""
 
 
-def test_least_outstanding_of_two_avoidance_and_pauses() -> None:
+def test_a_pick_prefers_few_outstanding_calls_and_skips_avoided_paused_and_stopping_routers() -> None:
     picker = Picker("me", [Endpoint("a:1"), Endpoint("b:1")], PickRules())
     picker.routers["a:1"].outstanding = 3
-    assert {picked(picker, draws=(d, 0.5)) for d in (0.0, 0.6)} == {"b:1"}
-    assert picked(picker, avoid={"b:1"}) == "a:1"
-    assert picked(picker, paused={"b:1"}) == "a:1" and picked(picker, paused={"a:1", "b:1"}) == ""
+    assert {pick_address(picker, draws=(d, 0.5)) for d in (0.0, 0.6)} == {"b:1"}
+    assert pick_address(picker, avoid={"b:1"}) == "a:1"
+    assert pick_address(picker, paused={"b:1"}) == "a:1" and pick_address(picker, paused={"a:1", "b:1"}) == ""
     picker.record_stopping(picker.routers["b:1"], 0.0)
-    assert picked(picker, now=1.0) == "a:1" and picked(picker, now=2.5) == "b:1"
+    assert pick_address(picker, now=1.0) == "a:1" and pick_address(picker, now=2.5) == "b:1"
 
 
-def test_ejection_and_slow_readmission() -> None:
+def test_failures_eject_a_router_which_is_readmitted_slowly() -> None:
     picker = Picker("me", [Endpoint("a:1"), Endpoint("b:1")], PickRules())
     a, b = picker.routers["a:1"], picker.routers["b:1"]
     picker.record_failure(a, 0.0)
     assert picker.is_admitted(a, 0.0)
     picker.record_failure(a, 0.0)
-    assert not picker.is_admitted(a, 0.9) and picked(picker, 0.9) == "b:1"
+    assert not picker.is_admitted(a, 0.9) and pick_address(picker, 0.9) == "b:1"
     assert picker.is_admitted(a, 1.1)
     a.outstanding = 1
-    assert not picker.is_admitted(a, 1.1)  # one call at a time, at first
+    assert not picker.is_admitted(a, 1.1)  # only one call at a time right after an ejection
     picker.record_answer(a)
     assert picker.is_admitted(a, 1.1)
-    picker.record_failure(a, 2.0)  # on probation one failure is enough, and costs twice the time
+    picker.record_failure(a, 2.0)  # right after an ejection one failure ejects again, for twice the time
     assert not picker.is_admitted(a, 3.9) and picker.is_admitted(b, 3.9)
     a.outstanding = 0
     for _ in range(9):
@@ -310,29 +316,29 @@
     for router in (a, b):
         picker.record_failure(router, 5.0)
         picker.record_failure(router, 5.0)
-    assert picked(picker, 5.1) in ("a:1", "b:1")  # rather one of them than nobody
+    assert pick_address(picker, 5.1) in ("a:1", "b:1")  # with all ejected, one is used nevertheless
 
 
-def test_a_new_list_keeps_what_is_known() -> None:
+def test_a_new_list_keeps_the_records_of_routers_that_stay() -> None:
     picker = Picker("me", [Endpoint("a:1"), Endpoint("b:1")], PickRules())
     picker.routers["a:1"].outstanding = 2
     assert picker.update([Endpoint("a:1", "z"), Endpoint("c:1")]) == ["b:1"]
     assert picker.routers["a:1"].outstanding == 2 and picker.routers["a:1"].endpoint.zone == "z"
 
 
-# What is read and written.
+# Parsing and validation.
 
 
 @given(st.lists(st.sampled_from([b"data: x\n\n", b": c\r\n\r\n", b"id: 1\ndata: y\n\n"])), st.integers(1, 9))
-def test_events_are_cut_whole_and_unchanged(events: list[bytes], size: int) -> None:
-    splitter, data, got = EventSplitter(100), b"".join(events), []
+def test_a_stream_is_split_into_complete_unchanged_events(events: list[bytes], size: int) -> None:
+    splitter, data, result = EventSplitter(100), b"".join(events), []
     for start in range(0, len(data), size):
-        got += splitter.feed(data[start : start + size])
-    assert b"".join(got) + splitter.take_rest() == data and len(got) == len(events)
+        result += splitter.feed(data[start : start + size])
+    assert b"".join(result) + splitter.take_rest() == data and len(result) == len(events)
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         {"rpc_class": ""},
         {"tenant": "a\r\nX-Evil: 1"},
@@ -344,18 +350,18 @@
         {"body": bytes(300_000)},
     ],
 )
-def test_what_no_router_could_read_is_not_made(words: dict[str, object]) -> None:
+def test_invalid_requests_are_rejected(arguments: dict[str, object]) -> None:
     with pytest.raises(ValueError):
-        Request(**{"rpc_class": "alt-text", **words})  # type: ignore[arg-type]
+        Request(**{"rpc_class": "alt-text", **arguments})  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize("words", [{"max_retries": -1}, {"retry_share": math.nan}, {"silence_s": 0}])
-def test_settings_that_make_no_sense(words: dict[str, object]) -> None:
+@pytest.mark.parametrize("arguments", [{"max_retries": -1}, {"retry_share": math.nan}, {"silence_s": 0}])
+def test_invalid_settings_are_rejected(arguments: dict[str, object]) -> None:
     with pytest.raises(ValueError):
-        ClientSettings(**words)  # type: ignore[arg-type]
+        ClientSettings(**arguments)  # type: ignore[arg-type]
 
 
-def test_the_body_that_asks_for_the_rest_goes_on_from_what_came() -> None:
+def test_the_body_for_the_rest_contains_the_text_received() -> None:
     event = b'data: {"choices":[{"delta":{"content":"a flooded "}}]}\n\n'
     came = [event, b"data: [DONE]\n\n", b"data: {\n\n"]
     made = rest_of(b'{"messages":[{"role":"user","content":"x"}]}', came)
