--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -30,7 +30,7 @@
     pauses: Pauses
     budget: RetryBudget
     answer_time: DurationEstimate  # from a request's last byte to the first event
-    rules: RetryRules
+    retry_rules: RetryRules
     stats: Stats
     rng: random.Random
 
@@ -57,7 +57,7 @@
             with anyio.move_on_after(max(self.deadline.at - anyio.current_time(), 0.0)):
                 return await self._run_attempts(body, resumed)
             self._count_silent_router()
-            raise self.error(DeadlineExceeded, "no event came in time", self._is_attempt_open)
+            raise self.error(DeadlineExceeded, "no event arrived in time", self._is_attempt_open)
         except BaseException:
             self.release()
             raise
@@ -80,7 +80,7 @@
             now = anyio.current_time()
             self._record_outcome(outcome, connection, router, now)
             self.release()
-            decision = shared.rules.after(
+            decision = shared.retry_rules.decide(
                 outcome,
                 rpc_class=self.request.rpc_class,
                 retries=self.retries,
@@ -254,7 +254,7 @@
                     pool.all_dials_failed()
 
     async def _wait_for_pause(self, now: float, has_waited: bool) -> None:
-        """Wait for the first pause to end, when all routers have asked for one for this class.
+        """Wait for the first pause to end, when all routers have asked for one.
 
         Raises the call's error if that is past the deadline, or if there is no router.
         """
@@ -319,7 +319,7 @@
         )
 
     def error_for(self, outcome: Outcome) -> ClientError:
-        """Return the error that tells the caller about this outcome."""
+        """Return the error to raise for this outcome."""
         if outcome.kind is OutcomeKind.REFUSED:
             self.shared.stats.refusals_surfaced += 1
             return self.error(Refused, outcome.cause, False, outcome.retry_after_s)
--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -79,14 +79,17 @@
 
     @property
     def attempts(self) -> int:
+        """The number of attempts so far."""
         return self._call.attempts
 
     @property
     def retries(self) -> int:
+        """The number of retries so far; resends and the request for the rest don't count."""
         return self._call.retries
 
     @property
     def router(self) -> str:
+        """The address of the router that got the last attempt."""
         return self._call.router
 
     @property
@@ -124,7 +127,7 @@
         if self._is_complete:
             return None
         if self._call.exchange is None:
-            raise self._broken_error("the block of the answer was left")
+            raise self._broken_error("the answer was closed, since its block has ended")
         if (ready := self._call.exchange.buffered_event()) is not None:
             return self._deliver(ready)
         with anyio.CancelScope() as scope:
@@ -161,7 +164,7 @@
         self.resumed = True
         make = self._request.rest or rest_of
         resumed_call = Call(call.shared, self._request, call.deadline)
-        resumed_call.attempts, resumed_call.retries = call.attempts, call.shared.rules.max_retries
+        resumed_call.attempts, resumed_call.retries = call.attempts, call.shared.retry_rules.max_retries
         retries_before = call.retries
         self._call = resumed_call
         try:
--- a/sorreldock/client/policy/outcome.py
+++ b/sorreldock/client/policy/outcome.py
@@ -9,10 +9,10 @@
 class OutcomeKind(Enum):
     """The kinds of outcome of an attempt that ended before its first event."""
 
-    REFUSED = "refused"  # the router turned it away and says that a retry is harmless
+    REFUSED = "refused"  # the router refused it without running it: a retry is harmless
     NEVER_RAN = "never ran"  # no router can have read the whole request
     MAY_HAVE_RUN = "may have run"
-    EXPIRED = "expired"  # the router says that the deadline has passed
+    EXPIRED = "expired"  # the router reported that the deadline has passed
     INVALID_REQUEST = "invalid request"  # the request itself is wrong: another router would reject it as well
 
 
--- a/sorreldock/client/policy/picker.py
+++ b/sorreldock/client/policy/picker.py
@@ -52,18 +52,20 @@
         return self.endpoint.address
 
 
-def rendezvous_weight(client: str, address: str) -> int:
+def rendezvous_weight(client_name: str, address: str) -> int:
     """Return the weight of a router for this client, a hash of both; the highest weights are chosen."""
-    return int.from_bytes(hashlib.blake2b(f"{client}\0{address}".encode(), digest_size=8).digest(), "big")
+    return int.from_bytes(
+        hashlib.blake2b(f"{client_name}\0{address}".encode(), digest_size=8).digest(), "big"
+    )
 
 
-def choose_subset(client: str, endpoints: Iterable[Endpoint], size: int, zone: str) -> list[Endpoint]:
+def choose_subset(client_name: str, endpoints: Iterable[Endpoint], size: int, zone: str) -> list[Endpoint]:
     """Return the routers of this client, own zone first, each group in descending order of weight.
 
     When the own zone could fill all places of a subset of two or more, one place still goes to another zone,
     so that the failure of a zone does not take the whole subset with it. A size of 0 or less means all.
     """
-    ranked = sorted(set(endpoints), key=lambda e: (-rendezvous_weight(client, e.address), e.address))
+    ranked = sorted(set(endpoints), key=lambda e: (-rendezvous_weight(client_name, e.address), e.address))
     own = [e for e in ranked if zone and e.zone == zone]
     others = [e for e in ranked if not (zone and e.zone == zone)]
     if size <= 0 or size >= len(ranked):
@@ -76,8 +78,10 @@
 class Picker:
     """The choice of a router for each attempt, and the record of what the attempts showed."""
 
-    def __init__(self, client: str, endpoints: Iterable[Endpoint], rules: PickRules, zone: str = "") -> None:
-        self.client, self.rules, self.zone = client, rules, zone
+    def __init__(
+        self, client_name: str, endpoints: Iterable[Endpoint], rules: PickRules, zone: str = ""
+    ) -> None:
+        self.client_name, self.rules, self.zone = client_name, rules, zone
         self.routers: dict[str, Router] = {}
         self.update(endpoints)
 
@@ -86,7 +90,9 @@
 
         Records of routers that stay are kept.
         """
-        chosen = {e.address: e for e in choose_subset(self.client, endpoints, self.rules.subset, self.zone)}
+        chosen = {
+            e.address: e for e in choose_subset(self.client_name, endpoints, self.rules.subset, self.zone)
+        }
         removed = [address for address in self.routers if address not in chosen]
         for address in removed:
             del self.routers[address]
--- a/sorreldock/client/policy/retry.py
+++ b/sorreldock/client/policy/retry.py
@@ -78,7 +78,7 @@
     safe_classes: Collection[str] = ()
     pause_s: float = 0.25  # after a failure or a refusal without advice: 1 to 3 times this, drawn
 
-    def after(
+    def decide(
         self,
         outcome: Outcome,
         *,
--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -44,7 +44,7 @@
 
 
 class Host:
-    """The trio loop of the main thread, where the router needs it for signals; tests run in another thread."""
+    """The trio loop of the main thread, where the router handles signals; tests run in another thread."""
 
     token: trio.lowlevel.TrioToken
     nursery: trio.Nursery
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -114,16 +114,16 @@
 
 @on_both
 async def test_an_answer_cut_off_after_its_first_event_raises_the_events_received() -> None:
-    async def at(call: Call) -> None:
+    async def cut_at_first_event(call: Call) -> None:
         await call.start(b'data: {"n":1}\n\n')
         await call.wire.stream.aclose()
 
-    async def after(call: Call) -> None:
+    async def cut_after_first_event(call: Call) -> None:
         await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
         await call.wire.stream.aclose()
 
     engine = SharedEngine()
-    engine.scripts = [at, after]
+    engine.scripts = [cut_at_first_event, cut_after_first_event]
     with hosted(router(engine)) as real:
         async with Client([real.address]) as client:
             for received in (1, 2):
@@ -136,12 +136,12 @@
 
 @on_both
 async def test_the_rest_of_a_broken_answer_is_requested_once_after_the_first_attempt_is_closed() -> None:
-    async def cut(call: Call) -> None:
+    async def cut_after_first_event(call: Call) -> None:
         await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
         await call.wire.stream.aclose()
 
     engine = SharedEngine()
-    engine.scripts = [cut, serve_well, cut, cut]
+    engine.scripts = [cut_after_first_event, serve_well, cut_after_first_event, cut_after_first_event]
     with hosted(router(engine, family_info={"resume": True})) as real:
         async with Client([real.address], ClientSettings(resume=True)) as client:
             async with client.stream(REQUEST, timeout_s=4.0) as answer:
@@ -158,22 +158,22 @@
 @pytest.mark.parametrize("waiting", [True, False])
 @on_both
 async def test_leaving_a_call_cancels_it_at_the_server(protocol: str, waiting: bool) -> None:
-    came, left = threading.Event(), threading.Event()
+    arrived, cancelled = threading.Event(), threading.Event()
 
     async def hang(call: Call) -> None:
         if not waiting:
             await call.start(b"data: 1\n\n")
-        came.set()
+        arrived.set()
         await call.left()
-        left.set()
+        cancelled.set()
 
     async def hang_grpc(call: GrpcStream) -> None:
         if not waiting:
             await call.start()
             await call.send(b"\n\x00")
-        came.set()
+        arrived.set()
         await call.until(lambda: False)
-        left.set()
+        cancelled.set()
 
     engine = SharedEngine(hang_grpc)
     engine.script = hang  # type: ignore[assignment]
@@ -185,11 +185,11 @@
                     await client.ask(REQUEST, timeout_s=10.0)
 
                 group.start_soon(ask)
-                while not came.is_set() or (not waiting and not client.stats().first_event_us.total_count):
+                while not arrived.is_set() or (not waiting and not client.stats().first_event_us.total_count):
                     await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
-            await anyio.to_thread.run_sync(left.wait, 5)
-            assert left.is_set()
+            await anyio.to_thread.run_sync(cancelled.wait, 5)
+            assert cancelled.is_set()
             assert client.stats().open_calls == 0
 
 
@@ -404,8 +404,8 @@
 
 @on_both
 async def test_an_unreachable_router_is_skipped_at_once_and_none_reachable_is_an_error() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as gone:
-        dead = f"127.0.0.1:{gone.getsockname()[1]}"
+    with socket.create_server(("127.0.0.1", 0)) as unused:
+        dead = f"127.0.0.1:{unused.getsockname()[1]}"
     with hosted(Stub(answers(OK)).on()) as stub:
         for _ in range(4):
             async with Client([dead, stub.address]) as client:
@@ -498,8 +498,8 @@
 def test_200_clients_spread_their_reconnections_when_all_routers_restart() -> None:
     path = ROOT / "deploy" / "lab" / "reconnect.toml"
     plan = reconnect.Plan(before_s=2.0, after_s=6.0)
-    client_side = trio.run(partial(reconnect.play, path, load(path), plan, "library", lambda line: None))
-    figures = client_side.figures()
+    side = trio.run(partial(reconnect.play, path, load(path), plan, "library", lambda line: None))
+    figures = side.figures()
     assert figures["peak_per_100ms"] < plan.clients / 10, figures
     assert figures["span_p5_p95_s"] >= 3.0 and figures["reconnects"] >= plan.clients * 0.8, figures
     assert figures["retries"] <= figures["retry_limit"] and figures["sent_twice_while_open"] == 0, figures
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -20,7 +20,7 @@
 from sorreldock.client.types import ClientSettings, rest_of
 
 REFUSED = Outcome(OutcomeKind.REFUSED, "refused")
-RAN = Outcome(OutcomeKind.MAY_HAVE_RUN, "reset")
+MAY_HAVE_RUN = Outcome(OutcomeKind.MAY_HAVE_RUN, "reset")
 
 
 def test_the_deadline_sent_is_the_remaining_time_less_the_round_trip() -> None:
@@ -115,7 +115,8 @@
     assert len(pauses) == 0
 
 
-def after(outcome: Outcome, **changes: object) -> Decision:
+def decide(outcome: Outcome, **changes: object) -> Decision:
+    """Decide with usual arguments, of which some are changed."""
     arguments: dict[str, object] = {
         "rpc_class": "alt-text",
         "retries": 0,
@@ -128,36 +129,36 @@
     }
     rules = changes.pop("rules", RetryRules())
     assert isinstance(rules, RetryRules)
-    return rules.after(outcome, **{**arguments, **changes})  # type: ignore[arg-type]
+    return rules.decide(outcome, **{**arguments, **changes})  # type: ignore[arg-type]
 
 
 def test_only_outcomes_that_are_safe_to_repeat_are_retried() -> None:
-    assert after(REFUSED).next_step is NextStep.RETRY and after(REFUSED).at > 1.0
-    assert after(Outcome(OutcomeKind.NEVER_RAN, "")) == Decision(NextStep.RETRY, 1.0)
-    assert after(RAN).next_step is NextStep.GIVE_UP
+    assert decide(REFUSED).next_step is NextStep.RETRY and decide(REFUSED).at > 1.0
+    assert decide(Outcome(OutcomeKind.NEVER_RAN, "")) == Decision(NextStep.RETRY, 1.0)
+    assert decide(MAY_HAVE_RUN).next_step is NextStep.GIVE_UP
     safe = RetryRules(safe_classes=["alt-text"])
-    assert after(RAN, rules=safe).next_step is NextStep.RETRY
-    assert after(RAN, rules=safe, rpc_class="other").next_step is NextStep.GIVE_UP
+    assert decide(MAY_HAVE_RUN, rules=safe).next_step is NextStep.RETRY
+    assert decide(MAY_HAVE_RUN, rules=safe, rpc_class="other").next_step is NextStep.GIVE_UP
     for kind in (OutcomeKind.INVALID_REQUEST, OutcomeKind.EXPIRED):
-        assert after(Outcome(kind, ""), rules=safe).next_step is NextStep.GIVE_UP
-    assert after(Outcome(OutcomeKind.REFUSED, "", retry_forbidden=True)).next_step is NextStep.GIVE_UP
+        assert decide(Outcome(kind, ""), rules=safe).next_step is NextStep.GIVE_UP
+    assert decide(Outcome(OutcomeKind.REFUSED, "", retry_forbidden=True)).next_step is NextStep.GIVE_UP
 
 
 def test_a_retry_needs_a_retry_left_a_token_and_time() -> None:
-    assert after(REFUSED, retries=1).reason == "no retry is left"
-    assert after(REFUSED, rules=RetryRules(max_retries=0)).reason == "no retry is left"
-    assert after(REFUSED, budget=RetryBudget(reserve=0.0)).reason == "the retry budget is spent"
-    assert after(REFUSED, now=9.9).reason == "no time is left for a pause"
-    assert after(Outcome(OutcomeKind.REFUSED, "", 8.99)).next_step is NextStep.RETRY
-    assert after(Outcome(OutcomeKind.REFUSED, "", 9.0)).reason == "the advised moment is past the deadline"
-    assert after(Outcome(OutcomeKind.REFUSED, "", 2.0), draw=0.0).at == 3.0
+    assert decide(REFUSED, retries=1).reason == "no retry is left"
+    assert decide(REFUSED, rules=RetryRules(max_retries=0)).reason == "no retry is left"
+    assert decide(REFUSED, budget=RetryBudget(reserve=0.0)).reason == "the retry budget is spent"
+    assert decide(REFUSED, now=9.9).reason == "no time is left for a pause"
+    assert decide(Outcome(OutcomeKind.REFUSED, "", 8.99)).next_step is NextStep.RETRY
+    assert decide(Outcome(OutcomeKind.REFUSED, "", 9.0)).reason == "the advised moment is past the deadline"
+    assert decide(Outcome(OutcomeKind.REFUSED, "", 2.0), draw=0.0).at == 3.0
 
 
 def test_a_request_undelivered_on_a_kept_connection_is_resent_once_without_a_retry() -> None:
     stale = Outcome(OutcomeKind.NEVER_RAN, "", stale=True)
-    assert after(stale, rules=RetryRules(max_retries=0)).next_step is NextStep.RESEND
-    assert after(stale, rules=RetryRules(max_retries=0), resends=1).next_step is NextStep.GIVE_UP
-    assert after(stale, now=11.0).next_step is NextStep.GIVE_UP
+    assert decide(stale, rules=RetryRules(max_retries=0)).next_step is NextStep.RESEND
+    assert decide(stale, rules=RetryRules(max_retries=0), resends=1).next_step is NextStep.GIVE_UP
+    assert decide(stale, now=11.0).next_step is NextStep.GIVE_UP
 
 
 @given(st.lists(st.booleans(), max_size=300))
@@ -183,20 +184,20 @@
 
 def test_a_loss_delays_the_next_dial_and_spreads_the_dials_of_many_clients() -> None:
     rng = random.Random(1)
-    turns = []
+    dial_times = []
     for _ in range(2000):
         gate = ReconnectGate(ReconnectRules())
         assert gate.next_dial_time(0.0, 10.0, 0, False) == 0.0  # at once before a loss
         gate.connection_lost(0.0, rng.random(), idle=False)
         at = gate.next_dial_time(0.0, 30.0, 0, False)
         assert at is not None and at > 0
-        turns.append(at)
+        dial_times.append(at)
         assert (
             gate.connection_lost(0.1, rng.random(), idle=True) is None
         )  # the losses of one deploy start one backoff
-    turns.sort()
-    assert turns[1900] - turns[100] > 3.5
-    assert max(sum(t <= x < t + 0.1 for x in turns) for t in turns) < 2000 / 10
+    dial_times.sort()
+    assert dial_times[1900] - dial_times[100] > 3.5
+    assert max(sum(t <= x < t + 0.1 for x in dial_times) for t in dial_times) < 2000 / 10
 
 
 def test_dials_of_requests_with_short_deadlines_are_spread_before_them() -> None:
@@ -363,7 +364,7 @@
 
 def test_the_body_for_the_rest_contains_the_text_received() -> None:
     event = b'data: {"choices":[{"delta":{"content":"a flooded "}}]}\n\n'
-    came = [event, b"data: [DONE]\n\n", b"data: {\n\n"]
-    made = rest_of(b'{"messages":[{"role":"user","content":"x"}]}', came)
-    assert b'{"role":"assistant","content":"a flooded "}' in made
+    received = [event, b"data: [DONE]\n\n", b"data: {\n\n"]
+    body = rest_of(b'{"messages":[{"role":"user","content":"x"}]}', received)
+    assert b'{"role":"assistant","content":"a flooded "}' in body
     assert rest_of(b"not json", [event]) == b"not json"
