--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -212,7 +212,7 @@
         observe: Callable[[str, str, float], None] | None = None,
         dial: Dial = dial,
     ) -> None:
-        """Create a client; connections are opened by its calls.
+        """Create a client, which opens no connection before its first call.
 
         `rng` draws jitter and choices (seeded in tests). `observe` is called with "opened", "lost" or "dial
         failed", the router's address, and the moment on the event loop's clock in seconds. `dial` opens
--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -58,9 +58,9 @@
 
 
 def outcome_of_status(code: int, message: str, trailers: dict[str, str]) -> Outcome:
-    """Return the outcome for a status other than OK before the first message (gRFC A6).
+    """Return the outcome for a status other than OK before the first message, as the router uses them.
 
-    RESOURCE_EXHAUSTED without a pushback means that the request is too large.
+    RESOURCE_EXHAUSTED without a pushback (gRFC A6) means that the request is too large.
     """
     description = f"grpc-status {code}: {message}" if message else f"grpc-status {code}"
     advice, retry_forbidden = parse_pushback(trailers.get("grpc-retry-pushback-ms"))
