--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -17,13 +17,13 @@
 
 from ..kserve import kserve_pb2 as pb
 from ..kserve.framing import (
-    LARGEST_HEADERS,
+    MAX_HEADER_LIST_BYTES,
     SERVICE,
     Code,
-    Farewell,
-    Farewells,
+    GoAway,
+    GoAwayFilter,
     GrpcError,
-    Unframer,
+    Deframer,
     format_timeout,
     frame,
     status_of,
@@ -82,7 +82,7 @@
             client=True,
             initial_values={
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: LARGEST_HEADERS,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
             },
         )
         self.h2.initiate_connection()
@@ -93,7 +93,7 @@
         self.heard_at = now
         self.pinged_at: float | None = None
         self.on_going: Callable[[], None] = lambda: None
-        self._farewells = Farewells(preface=False)
+        self._goaway_filter = GoAwayFilter(preface=False)
         self._pending = self.h2.data_to_send()
         self._wake = anyio.Event()
         self._lost: Lost | None = None
@@ -142,21 +142,21 @@
             if not data:
                 raise Lost("closed by the router")
             self.heard_at, self.pinged_at = anyio.current_time(), None
-            rest, farewells = self._farewells.strip(data)
+            rest, goaways = self._goaway_filter.strip(data)
             for event in self.h2.receive_data(rest):
                 self._take(event)
-            for farewell in farewells:
-                self._said_farewell(farewell)
+            for goaway in goaways:
+                self._on_goaway(goaway)
             self.flush()
             if self.going and not self.taken:
                 raise Lost("the router has said goodbye")
 
-    def _said_farewell(self, farewell: Farewell) -> None:
+    def _on_goaway(self, goaway: GoAway) -> None:
         if not self.going:
             self.going = True
             self.on_going()
         for number, exchange in list(self.exchanges.items()):
-            if number > farewell.last_stream:  # RFC 9113 6.8: not taken, and never will be
+            if number > goaway.last_stream_id:  # RFC 9113 6.8: not taken, and never will be
                 exchange.end(Outcome(Kind.NEVER_RAN, "left out by a GOAWAY", stale=True))
 
     def _take(self, event: h2.events.Event) -> None:
@@ -238,7 +238,7 @@
         self.line = line
         self._request, self._mark = request, mark
         self._message = frame(message_for(request, body, mark.name))
-        self._unframer = Unframer(line.largest_event)
+        self._deframer = Deframer(line.largest_event)
         self._unacknowledged = 0
         self._fields: dict[str, str] = {}
         self._number = 0
@@ -261,7 +261,7 @@
 
     def feed(self, data: bytes, length: int) -> None:
         self._unacknowledged += length
-        self._unframer.feed(data)
+        self._deframer.feed(data)
         self.notify()
 
     def lose(self, lost: Lost) -> None:
@@ -342,10 +342,10 @@
         while True:
             changed = self._changed
             try:
-                message = self._unframer.next()
+                message = self._deframer.next()
             except GrpcError as error:
                 raise Lost(error.message) from None
-            if message is not None or self._unframer.partial:  # a long message needs room to go on
+            if message is not None or self._deframer.partial:  # a long message needs room to go on
                 self.line.acknowledge(self._unacknowledged, self._number)
                 self._unacknowledged = 0
                 self.line.flush()
@@ -359,7 +359,7 @@
             self._check()
             if self.ended:
                 code, text = status_of(self._fields)
-                if code == Code.OK and not self._unframer.partial:
+                if code == Code.OK and not self._deframer.partial:
                     self.whole = True
                     return None
                 if not opening:
--- a/sorreldock/kserve/framing.py
+++ b/sorreldock/kserve/framing.py
@@ -10,8 +10,8 @@
 from urllib.parse import quote, unquote
 
 SERVICE = "inference.GRPCInferenceService"
-LARGEST_ANSWER = 1024 * 1024  # of one message of an answer
-LARGEST_HEADERS = 16 * 1024
+MAX_ANSWER_BYTES = 1024 * 1024  # of one message of an answer
+MAX_HEADER_LIST_BYTES = 16 * 1024
 TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
@@ -73,7 +73,7 @@
     return struct.pack(">BI", 0, len(message)) + message
 
 
-class Unframer:
+class Deframer:
     """Cuts messages out of a stream's data."""
 
     def __init__(self, largest: int) -> None:
@@ -104,14 +104,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Farewell:
+class GoAway:
     """A GOAWAY: streams above the last one were not taken; the others go on to their ends."""
 
-    last_stream: int
-    error: int
+    last_stream_id: int
+    error_code: int
 
 
-class Farewells:
+class GoAwayFilter:
     """Takes GOAWAY frames out of what goes to h2. Guards open streams: h2 takes a connection for closed at a
     GOAWAY and fails on the next frame, while a peer that shuts down in good order finishes its streams.
     """
@@ -123,7 +123,7 @@
         self._head = b""
         self._farewell: bytearray | None = None
 
-    def strip(self, data: bytes) -> tuple[bytes, list[Farewell]]:
+    def strip(self, data: bytes) -> tuple[bytes, list[GoAway]]:
         rest, found = bytearray(), []
         while data:
             if self._left:
@@ -135,7 +135,7 @@
                 self._farewell += part
                 if not self._left:
                     last, error = struct.unpack_from(">II", self._farewell)
-                    found.append(Farewell(last & 0x7FFFFFFF, error))
+                    found.append(GoAway(last & 0x7FFFFFFF, error))
                     self._farewell = None
                 continue
             need = self.HEAD - len(self._head)
--- a/sorreldock/lab/serving/grpc.py
+++ b/sorreldock/lab/serving/grpc.py
@@ -10,7 +10,7 @@
 import trio
 
 from ...kserve import kserve_pb2 as pb
-from ...kserve.framing import Code, GrpcError, Unframer, frame, trailers
+from ...kserve.framing import Code, GrpcError, Deframer, frame, trailers
 from ..engine import Verdict
 from .host import EngineHost, job_of, words
 
@@ -26,7 +26,7 @@
 
     def __init__(self, number: int, headers: dict[str, str]) -> None:
         self.number, self.headers = number, headers
-        self.unframer = Unframer(LARGEST_MESSAGE)
+        self.deframer = Deframer(LARGEST_MESSAGE)
         self.scope = trio.CancelScope()
         self.started = False
 
@@ -74,7 +74,7 @@
                 if event.flow_controlled_length:
                     self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id or 0)
                 if call is not None:
-                    call.unframer.feed(event.data or b"")
+                    call.deframer.feed(event.data or b"")
             case h2.events.StreamEnded() if call is not None:
                 nursery.start_soon(self._serve, call)
             case h2.events.StreamReset() if call is not None:
@@ -117,7 +117,7 @@
     async def _answer(self, call: Call) -> None:
         method = call.headers.get(":path", "").rpartition("/")[2]
         try:
-            message = call.unframer.next() or b""
+            message = call.deframer.next() or b""
         except GrpcError as error:
             await self._finish(call, error.code, error.message)
             return
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -11,7 +11,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from ...kserve import kserve_pb2 as pb
-from ...kserve.framing import SERVICE, Code, GrpcError, Headers, Unframer, frame, trailers
+from ...kserve.framing import SERVICE, Code, GrpcError, Headers, Deframer, frame, trailers
 from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
@@ -32,9 +32,9 @@
         self.head = CallHead(number, headers)
         self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
-        self.unframer = Unframer(limits.LARGEST_BODY)
+        self.deframer = Deframer(limits.LARGEST_BODY)
         self.held_bytes = 0  # of the payload budget
-        self.unread = 0  # bytes in the unframer that the peer has not got back as room
+        self.unread = 0  # bytes in the deframer that the peer has not got back as room
         self.crowded = False  # its request found no room in memory
         self.ended = False  # the client has sent all
         self.reset = False
@@ -48,7 +48,7 @@
     @property
     def owes_answer(self) -> bool:
         """A long stream between two requests owes none."""
-        return self.unary or self.answering or self.unframer.partial
+        return self.unary or self.answering or self.deframer.partial
 
     # The core's side.
 
@@ -78,7 +78,7 @@
         self.unread += length
         if self.client.front.payloads.take(len(data)):
             self.held_bytes += len(data)
-            self.unframer.feed(data)
+            self.deframer.feed(data)
         else:
             self.crowded = True
         self.notify()
@@ -121,17 +121,17 @@
                 raise GrpcError(
                     Code.UNAVAILABLE, "too many large requests", [("grpc-retry-pushback-ms", "1000")]
                 )
-            message = self.unframer.next()
+            message = self.deframer.next()
             if message is not None:
                 self.give_room()
                 return message
             if self.ended:
-                if self.unframer.partial:
+                if self.deframer.partial:
                     raise GrpcError(Code.INVALID_ARGUMENT, "the last message is cut off")
                 return None
             self.give_room()
             # A stream may stand open between its messages; a request that has begun goes on.
-            begun = self.unary or self.unframer.partial
+            begun = self.unary or self.deframer.partial
             with trio.move_on_after(limits.STALL_S if begun else math.inf) as stall:
                 await self.changed.wait()
             if stall.cancelled_caught:
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -15,13 +15,13 @@
 from ...interface import Metric, Status
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import (
-    LARGEST_ANSWER,
+    MAX_ANSWER_BYTES,
     SERVICE,
     Code,
-    Farewell,
+    GoAway,
     GrpcError,
     Headers,
-    Unframer,
+    Deframer,
     format_timeout,
     frame,
     status_of,
@@ -56,7 +56,7 @@
     def __init__(self, line: EngineLine, number: int) -> None:
         self.line = line
         self.number = number
-        self.unframer = Unframer(LARGEST_ANSWER)
+        self.deframer = Deframer(MAX_ANSWER_BYTES)
         self.headers: dict[str, str] = {}
         self.trailers: Headers = []
         self.ended = False
@@ -73,11 +73,11 @@
         with suppress(ConnectionLost):
             await self.line.wire.flush()
 
-    def take(self, event: h2.events.Event | Farewell) -> None:
+    def take(self, event: h2.events.Event | GoAway) -> None:
         match event:
-            case Farewell(last_stream, error):
+            case GoAway(last_stream_id, error):
                 self.line.going = True
-                if last_stream < self.number:
+                if last_stream_id < self.number:
                     raise NeverTaken("left out by a GOAWAY")
                 if error:
                     raise ConnectionLost(f"GOAWAY with error {error}")
@@ -89,7 +89,7 @@
             case h2.events.TrailersReceived():
                 self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.DataReceived():
-                self.unframer.feed(event.data or b"")
+                self.deframer.feed(event.data or b"")
                 self.line.wire.consumed(self.number, event.flow_controlled_length or 0)
             case h2.events.StreamEnded():
                 self.ended = True
@@ -117,14 +117,14 @@
         """The answer's next message; None at its end. One that has begun to arrive gives the wait a limit."""
         latest = silence.deadline if silence is not None else math.inf
         while True:
-            message = self.unframer.next()
+            message = self.deframer.next()
             if message is not None:
                 return message
             if self.ended:
-                if self.unframer.partial:
+                if self.deframer.partial:
                     raise ConnectionLost("the last message is cut off")
                 return None
-            if silence is not None and self.unframer.partial:
+            if silence is not None and self.deframer.partial:
                 silence.deadline = min(latest, trio.current_time() + engine.OPENING_S)
             await self.step()
 
@@ -149,7 +149,7 @@
         try:
             while self.connection.readable:
                 events = await self.wire.receive()
-                if events is None or any(isinstance(event, Farewell) for event in events):
+                if events is None or any(isinstance(event, GoAway) for event in events):
                     return False
         except (ConnectionLost, h2.exceptions.ProtocolError):
             return False
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -11,7 +11,7 @@
 import trio
 from hyperframe.frame import GoAwayFrame
 
-from ...kserve.framing import Farewell
+from ...kserve.framing import GoAway
 from ...transport.admission import Stage
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
@@ -126,7 +126,7 @@
                 self.front.queue.enter(self)
             self.wire.hand_over()
 
-    def take(self, event: h2.events.Event | Farewell, nursery: trio.Nursery) -> None:
+    def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
         match event:
             case h2.events.RequestReceived():
                 assert event.stream_id is not None and event.headers is not None
--- a/sorreldock/protocol/kserve/grpc.py
+++ b/sorreldock/protocol/kserve/grpc.py
@@ -9,7 +9,7 @@
 import h2.settings
 import trio
 
-from ...kserve.framing import LARGEST_HEADERS, Farewell, Farewells
+from ...kserve.framing import MAX_HEADER_LIST_BYTES, GoAway, GoAwayFilter
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
 
@@ -24,29 +24,29 @@
         )
         values = {
             h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most_streams,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: LARGEST_HEADERS,
+            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
         }
         if client_side:
             values[h2.settings.SettingCodes.ENABLE_PUSH] = 0
         self.h2.local_settings = h2.settings.Settings(client_side, values)
         self.h2.initiate_connection()
-        self._farewells = Farewells(preface=not client_side)
+        self._goaway_filter = GoAwayFilter(preface=not client_side)
         self._raw = b""
         self.window_grew = trio.Event()
 
-    async def receive(self) -> list[h2.events.Event | Farewell] | None:
+    async def receive(self) -> list[h2.events.Event | GoAway] | None:
         """What arrived, in one read; None at the peer's end."""
         data = await self.connection.receive()
         if not data:
             return None
-        rest, farewells = self._farewells.strip(data)
-        events: list[h2.events.Event | Farewell] = list(self.h2.receive_data(rest))
+        rest, goaways = self._goaway_filter.strip(data)
+        events: list[h2.events.Event | GoAway] = list(self.h2.receive_data(rest))
         for event in events:
             # Wake those who wait for room to send.
             if isinstance(event, h2.events.WindowUpdated | h2.events.RemoteSettingsChanged):
                 self.window_grew.set()
                 self.window_grew = trio.Event()
-        return events + farewells
+        return events + goaways
 
     async def flush(self) -> None:
         """Write what the state has to say. For one task alone; `ServerWire` serves many."""
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -17,7 +17,7 @@
 from peers import Engine, Router
 
 from sorreldock.kserve import kserve_pb2 as pb
-from sorreldock.kserve.framing import Farewells
+from sorreldock.kserve.framing import GoAwayFilter
 from sorreldock.program.config import Kserve, Operator
 
 METADATA = {"sorreldock-class": "alt-text", "sorreldock-tenant": "acme", "sorreldock-session": "s1"}
@@ -127,7 +127,7 @@
         self.streams: dict[int, Stream] = {}
         self.changed = trio.Event()
         self.turn = trio.Lock()
-        self.farewells = Farewells(preface=not client)
+        self.goaway_filter = GoAwayFilter(preface=not client)
         self.closed = self.going = False
         self.h2.initiate_connection()
 
@@ -140,8 +140,10 @@
         await self.flush()
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, h2.exceptions.ProtocolError):
             while data := await self.stream.receive_some(65536):
-                rest, farewells = self.farewells.strip(data)  # h2 itself would take the connection for closed
-                self.going = self.going or bool(farewells)
+                rest, goaways = self.goaway_filter.strip(
+                    data
+                )  # h2 itself would take the connection for closed
+                self.going = self.going or bool(goaways)
                 for event in self.h2.receive_data(rest):
                     self.take(event, on_request)
                 await self.flush()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
-from sorreldock.kserve.framing import Farewell, Farewells
+from sorreldock.kserve.framing import GoAway, GoAwayFilter
 from sorreldock.program.serve import most_open, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
@@ -44,16 +44,16 @@
 
 
 @given(st.lists(st.integers(1, 20)))
-def test_farewells_are_found_however_the_bytes_are_cut(cuts: list[int]) -> None:
+def test_goaway_frames_are_found_however_the_bytes_are_split(cuts: list[int]) -> None:
     plain = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
-    goodbye = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
-    data, strip = plain + goodbye + plain, Farewells(preface=False)
+    goaway_bytes = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
+    data, strip = plain + goaway_bytes + plain, GoAwayFilter(preface=False)
     rest, found = b"", []
     for cut in [*cuts, len(data)]:
-        got, farewells = strip.strip(data[:cut])
+        got, goaways = strip.strip(data[:cut])
         data = data[cut:]
-        rest, found = rest + got, found + farewells
-    assert (rest, found) == (plain * 2, [Farewell(5, 2)])
+        rest, found = rest + got, found + goaways
+    assert (rest, found) == (plain * 2, [GoAway(5, 2)])
 
 
 @pytest.mark.parametrize(
