--- a/sorreldock/lab/serving/grpc.py
+++ b/sorreldock/lab/serving/grpc.py
@@ -10,7 +10,7 @@
 import trio
 
 from ...kserve import kserve_pb2 as pb
-from ...kserve.framing import Code, GrpcError, Deframer, frame, trailers
+from ...kserve.framing import Code, Deframer, GrpcError, frame, trailers
 from ..engine import Verdict
 from .host import EngineHost, job_of, words
 
--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -22,7 +22,7 @@
 from ...routing.subchannel import Subchannel
 from ...routing.types import Outcome
 from ...rules import Gateway
-from ...transport.budget import Payloads
+from ...transport.budget import PayloadBudget
 from ...transport.pool import Pool
 from .explore import Explored, explore_here
 from .scenario import draw
@@ -199,7 +199,9 @@
     "ends-whole": Mutant("a broken stream ends as if it were whole", "unchanged", _ends_whole),
     "descriptor-leak": Mutant("a descriptor is lost with each reset", "leak", _descriptor_leak),
     "payload-leak": Mutant(
-        "payloads are not given back", "leak", lambda: [(Payloads, "give_back", lambda self, count: None)]
+        "payloads are not given back",
+        "leak",
+        lambda: [(PayloadBudget, "give_back", lambda self, count: None)],
     ),
     "names-leak": Mutant("names of ended RPCs are kept", "leak", _names_leak),
     "forgotten-end": Mutant("the module does not hear of an attempt not made", "leak", _forgotten_end),
--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..transport.budget import Descriptors, Use
+from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection, ConnectionLost
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
@@ -26,9 +26,9 @@
     def __init__(self, address: str, answers: dict[str, Callable[[], str]], system: System = MACHINE) -> None:
         self._answers = answers
         self._callers: dict[trio.CancelScope, None] = {}  # in order of their coming
-        room = Descriptors(0)
-        room.most[Use.CLIENT] = MOST_CALLERS
-        room.evictors[Use.CLIENT].append(self._hurry_one)
+        room = DescriptorBudget(0)
+        room.max_used[Use.CLIENT] = MOST_CALLERS
+        room.eviction_callbacks[Use.CLIENT].append(self._hurry_one)
         self.listener = Listener(address, room, system)
 
     async def serve(self, nursery: trio.Nursery) -> None:
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -16,7 +16,7 @@
 from ..protocol.http.front import HttpFront
 from ..routing.core import Core
 from ..routing.types import EngineClient, ResolverResult
-from ..transport.budget import Descriptors, Payloads
+from ..transport.budget import DescriptorBudget, PayloadBudget
 from ..transport.connection import dialler
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
@@ -79,8 +79,8 @@
         self.lifecycle = Lifecycle(lambda phase: self.log("notice", "PHASE", phase.value))
         self.console: Console | None = None
         self.takeover: Takeover | None = None
-        self.budget = Descriptors(config.sockets)
-        self.payloads = Payloads(payload_bytes(config.memory_mb))
+        self.budget = DescriptorBudget(config.sockets)
+        self.payloads = PayloadBudget(payload_bytes(config.memory_mb))
         self.fronts: dict[str, Front[Any]] = {}
         self.listeners: dict[str, Listener] = {}
         self.addresses: dict[str, str] = {}  # where each front listens, by protocol
@@ -220,7 +220,7 @@
     async def _open_console(self, nursery: trio.Nursery) -> None:
         from . import console  # an installation without one does not load it
 
-        self.budget.set_aside(console.DESCRIPTORS)
+        self.budget.reserve(console.DESCRIPTORS)
         answers = {"ready": self.calls.ready, "drain": self.calls.drain, "resume": self.calls.resume}
         self.console = console.Console(self.config.console, answers, self.system)
         self.addresses["console"] = await self.console.listener.bind()
@@ -246,7 +246,7 @@
         memory_mb = self.config.memory_mb
         if others:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
-        self.payloads.most = payload_bytes(memory_mb)
+        self.payloads.max_used = payload_bytes(memory_mb)
         self.core.most_open = most_open(memory_mb)
 
     async def _signals(self) -> None:
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -18,7 +18,7 @@
 from ..protocol.http.discovery import ListError, Resolver, decode_result, encode_result
 from ..routing.core import Core
 from ..routing.types import Log, ResolverResult, Target
-from ..transport.budget import Descriptors, Use
+from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection
 from ..transport.failures import repeated
 from ..transport.listener import Listener
@@ -113,7 +113,7 @@
         folder: str,
         core: Core,
         resolver: Resolver,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         log: Log,
         pid: int,
         in_company: Callable[[bool], None],
@@ -289,17 +289,17 @@
                     out[replica] = out.get(replica, 0) + count
             self._core.out_elsewhere(out)
             used, leave = sum(link.used for link in others), all(link.leaving for link in others)
-            usable = self._budget.usable_with(len(others))
+            usable = self._budget.usable_in_total(len(others))
             mine = sum(self._budget.used.values())
             portion = handover.portion(usable, mine, self._leaving, used, leave)
             if self._leaving:  # what it has let go is the other one's
                 portion = self._least = min(portion, self._least)
-            self._budget.share(portion, self._leaving)
+            self._budget.set_portion(portion, self._leaving)
             if not self._leaving:
-                self._budget.let_go()
+                self._budget.close_excess_idle()
         else:
             self._core.out_elsewhere({})
-            self._budget.share(None)
+            self._budget.set_portion(None)
 
     async def _converse(self, link: Link, adopt: Callable[[int], None] | None) -> None:
         try:
@@ -351,12 +351,12 @@
 
 
 def adopter(
-    listener: Listener, front: Front[Any], budget: Descriptors, nursery: trio.Nursery
+    listener: Listener, front: Front[Any], budget: DescriptorBudget, nursery: trio.Nursery
 ) -> Callable[[int], None]:
     """Takes over a client's connection that the predecessor has passed on."""
 
     def adopt(descriptor: int) -> None:
-        budget.adopt(Use.CLIENT)
+        budget.count_inherited(Use.CLIENT)
         listener.adopt(descriptor, nursery, front.handle_kept)
 
     return adopt
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -12,7 +12,7 @@
 
 from ..routing.types import Log, Router
 from ..transport.admission import EvictionQueue, Stage, evictable
-from ..transport.budget import Descriptors, Payloads, Use
+from ..transport.budget import DescriptorBudget, PayloadBudget, Use
 from ..transport.connection import Connection
 
 LARGEST_BODY = 256 * 1024  # of a request, or of a message
@@ -68,8 +68,8 @@
         self,
         core: Router,
         is_ready: Callable[[], bool],
-        budget: Descriptors,
-        payloads: Payloads,
+        budget: DescriptorBudget,
+        payloads: PayloadBudget,
         log: Log,
     ) -> None:
         self.core = core
@@ -83,7 +83,7 @@
         self.log = log
         self.queue: EvictionQueue[C] = EvictionQueue()  # of those that may make room
         self.shed: Counter[str] = Counter()  # connections that made room, by stage
-        budget.evictors[Use.CLIENT].append(self.make_room)
+        budget.eviction_callbacks[Use.CLIENT].append(self.make_room)
 
     @abstractmethod
     def attend(self, connection: Connection) -> C:
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -9,7 +9,7 @@
 
 from ...interface import Metric, Status
 from ...routing.types import RPC, CallProgress, Report
-from ...transport.budget import Descriptors
+from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
 from .. import engine
@@ -149,7 +149,7 @@
     def __init__(
         self,
         address: str,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         probe_path: str,
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -11,7 +11,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from ...kserve import kserve_pb2 as pb
-from ...kserve.framing import SERVICE, Code, GrpcError, Headers, Deframer, frame, trailers
+from ...kserve.framing import SERVICE, Code, Deframer, GrpcError, Headers, frame, trailers
 from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -18,16 +18,16 @@
     MAX_ANSWER_BYTES,
     SERVICE,
     Code,
+    Deframer,
     GoAway,
     GrpcError,
     Headers,
-    Deframer,
     format_timeout,
     frame,
     status_of,
 )
 from ...routing.types import RPC, CallProgress, Report
-from ...transport.budget import Descriptors
+from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
 from .. import engine
@@ -180,7 +180,7 @@
     def __init__(
         self,
         address: str,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         dial: Dial = dial,
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -9,7 +9,7 @@
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import Code, GrpcError
 from ...routing.types import Log, Router
-from ...transport.budget import Descriptors, Payloads
+from ...transport.budget import DescriptorBudget, PayloadBudget
 from ...transport.connection import Connection, ConnectionLost
 from ..front import Front
 from .call import parse
@@ -28,8 +28,8 @@
         version: str,
         core: Router,
         is_ready: Callable[[], bool],
-        budget: Descriptors,
-        payloads: Payloads,
+        budget: DescriptorBudget,
+        payloads: PayloadBudget,
         log: Log,
     ) -> None:
         super().__init__(core, is_ready, budget, payloads, log)
--- a/sorreldock/transport/budget.py
+++ b/sorreldock/transport/budget.py
@@ -15,7 +15,7 @@
     ENGINE = "engine"
 
 
-class Descriptors:
+class DescriptorBudget:
     """Counts the sockets in use. Guards the descriptor limit: past it `accept` and `connect` would fail
     and the platform may count the program as crashed.
     """
@@ -23,65 +23,65 @@
     RESERVED = 64  # interpreter, log, listeners, discovery, trio's own; of a small limit a sixth
 
     def __init__(self, limit: int) -> None:
-        self._set_aside = 0
+        self._extra_reserved = 0
         self._portion: int | None = None
         self.resize(limit)
         self.used = {Use.CLIENT: 0, Use.ENGINE: 0}
-        self.evictors: dict[Use, list[Callable[[], bool]]] = {Use.CLIENT: [], Use.ENGINE: []}
+        self.eviction_callbacks: dict[Use, list[Callable[[], bool]]] = {Use.CLIENT: [], Use.ENGINE: []}
         self._waiting = trio.lowlevel.ParkingLot()
 
-    def set_aside(self, count: int) -> None:
+    def reserve(self, count: int) -> None:
         """For somebody who does not ask here, and has them whatever clients hold."""
-        self._set_aside = count
+        self._extra_reserved = count
         self.resize(self.limit)
 
     def resize(self, limit: int) -> None:
         """What is in use beyond a smaller limit stays so until it is given back."""
         self.limit = limit
-        usable = self.usable_with(0)
+        usable = self.usable_in_total(0)
         if self._portion is not None:
             usable = min(usable, self._portion)
-        self.most = {Use.CLIENT: usable // 2, Use.ENGINE: usable - usable // 2}
+        self.max_used = {Use.CLIENT: usable // 2, Use.ENGINE: usable - usable // 2}
 
-    def usable_with(self, others: int) -> int:
+    def usable_in_total(self, others: int) -> int:
         """What this process and so many others have for sockets in all; each has the same set aside."""
-        kept = min(self.RESERVED, self.limit // 6) + self._set_aside
+        kept = min(self.RESERVED, self.limit // 6) + self._extra_reserved
         return self.limit - (1 + others) * kept
 
-    def share(self, portion: int | None, leaving: bool = False) -> None:
+    def set_portion(self, portion: int | None, leaving: bool = False) -> None:
         """Use no more than this, since another process of this router holds the rest; None: there is none.
         A process that leaves takes no more clients, and what is left is for the attempts of those it has.
         """
         if leaving and portion is not None:
             clients = self.used[Use.CLIENT]
-            self.most = {Use.CLIENT: clients, Use.ENGINE: max(portion - clients, 0)}
+            self.max_used = {Use.CLIENT: clients, Use.ENGINE: max(portion - clients, 0)}
         elif portion != self._portion:
             self._portion = portion
             self.resize(self.limit)
 
-    def let_go(self) -> None:
+    def close_excess_idle(self) -> None:
         """Close what is idle beyond a smaller portion, for the other process."""
-        for use, evictors in self.evictors.items():
-            while self.used[use] > self.most[use] and any(evict() for evict in evictors):
+        for use, eviction_callbacks in self.eviction_callbacks.items():
+            while self.used[use] > self.max_used[use] and any(evict() for evict in eviction_callbacks):
                 pass
 
-    def adopt(self, use: Use) -> None:
+    def count_inherited(self, use: Use) -> None:
         """Count one that came open from another process, whose count it has left."""
         self.used[use] += 1
 
     def take(self, use: Use) -> bool:
         """Claim one; when all are in use, somebody's idle connection is closed for it if there is one."""
-        if self.used[use] >= self.most[use] and not self._evict(use):
+        if self.used[use] >= self.max_used[use] and not self._evict(use):
             return False
         self.used[use] += 1
         return True
 
     def _evict(self, use: Use) -> bool:
         """In turn, lest the first of a thousand engines loses every connection to the others."""
-        evictors = self.evictors[use]
-        for place, evict in enumerate(evictors):
+        eviction_callbacks = self.eviction_callbacks[use]
+        for place, evict in enumerate(eviction_callbacks):
             if evict():
-                evictors.append(evictors.pop(place))
+                eviction_callbacks.append(eviction_callbacks.pop(place))
                 return True
         return False
 
@@ -89,23 +89,23 @@
         self.used[use] -= 1
         self._waiting.unpark_all()
 
-    async def freed(self, within_s: float) -> None:
+    async def wait_released(self, within_s: float) -> None:
         """Wait until one has been given back."""
         with trio.move_on_after(within_s):
             await self._waiting.park()
 
 
-class Payloads:
+class PayloadBudget:
     """Counts the bytes of requests held in memory. Guards the memory limit: past it a crowd of large requests
     is refused, not held.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_used: int) -> None:
+        self.max_used = max_used
         self.used = 0
 
     def take(self, count: int) -> bool:
-        if self.used + count > self.most:
+        if self.used + count > self.max_used:
             return False
         self.used += count
         return True
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from .budget import Descriptors, Use
+from .budget import DescriptorBudget, Use
 from .connection import Connection, split_address
 from .failures import is_resource_shortage, repeated
 from .system import MACHINE, System
@@ -24,7 +24,7 @@
     """Accepts connections within the descriptor budget."""
 
     def __init__(
-        self, address: str, budget: Descriptors, system: System = MACHINE, inherited: int | None = None
+        self, address: str, budget: DescriptorBudget, system: System = MACHINE, inherited: int | None = None
     ) -> None:
         host, port = split_address(address)
         self._family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -103,7 +103,7 @@
         """Accept one connection once there is a descriptor for it; pauses behind a failure."""
         # Guards the descriptor limit: with all in use, newcomers wait in the kernel's backlog.
         while not self._budget.take(Use.CLIENT):
-            await self._budget.freed(0.05)
+            await self._budget.wait_released(0.05)
         if not await self._accept(nursery, handle):
             await trio.sleep(ACCEPT_PAUSE_S)
 
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from .budget import Descriptors, Use
+from .budget import DescriptorBudget, Use
 from .connection import Connection, Dial, LocalShortage, dial
 
 
@@ -38,7 +38,7 @@
         self,
         address: str,
         wrap: Callable[[Connection], L],
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         dial: Dial = dial,
@@ -54,7 +54,7 @@
         self._most_idle = most_idle
         self._rest_s = rest_s  # how long a connection stays unused after a call
         self._idle: list[tuple[float, L]] = []  # the last one put back is the first one taken
-        budget.evictors[Use.ENGINE].append(self.evict)
+        budget.eviction_callbacks[Use.ENGINE].append(self.evict)
 
     async def get(self) -> L:
         """An idle line, else a new one; DialFailed when none comes up, LocalShortage if through us."""
@@ -106,5 +106,5 @@
     def discard(self) -> None:
         """The subchannel is gone: close what is idle and leave the budget's list."""
         self.close_idle()
-        if self.evict in self._budget.evictors[Use.ENGINE]:
-            self._budget.evictors[Use.ENGINE].remove(self.evict)
+        if self.evict in self._budget.eviction_callbacks[Use.ENGINE]:
+            self._budget.eviction_callbacks[Use.ENGINE].remove(self.evict)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -94,7 +94,7 @@
     async with among(engine) as router:
         budget = router.program.budget
         taken = await streaming(router, engine, finish)
-        budget.most[Use.CLIENT] = 12
+        budget.max_used[Use.CLIENT] = 12
         crowd_of = [await half_sent(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
         await idle.stream.send_all(raw())
@@ -127,7 +127,7 @@
 async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     async with among(Engine()) as router:
         payloads = router.program.payloads
-        payloads.most = 100_000
+        payloads.max_used = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
         stopped = await half_sent(router, head + b"\r\n\r\n" + b"x" * 59_000)
         while payloads.used < 59_000:
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -148,7 +148,7 @@
         await usual.stream.send_all(raw())
         while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
             pass
-        router.program.budget.most[Use.CLIENT] = 8
+        router.program.budget.max_used[Use.CLIENT] = 8
         silent = [await router.connect() for _ in range(7)]
         while router.program.budget.used[Use.CLIENT] < 8:
             await trio.sleep(0.01)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -353,7 +353,7 @@
 @story
 async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
     async with among(Engine()) as router:
-        router.program.payloads.most = 1000
+        router.program.payloads.max_used = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
         for _ in range(3):  # and what was served is no longer counted
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -112,8 +112,8 @@
 async def test_a_crowd_of_clients_cannot_shut_the_operators_out() -> None:
     async with among(Engine(), console="127.0.0.1:0", sockets=100) as router:
         budget: Any = router.program.budget
-        crowd = [await router.connect() for _ in range(2 * sum(budget.most.values()))]
-        assert sum(budget.most.values()) + console.DESCRIPTORS <= 100 - 100 // 6
+        crowd = [await router.connect() for _ in range(2 * sum(budget.max_used.values()))]
+        assert sum(budget.max_used.values()) + console.DESCRIPTORS <= 100 - 100 // 6
         assert await call(router, "ready") == "ok serving\n"
         for wire in crowd:
             await wire.stream.aclose()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
 from sorreldock.program.serve import most_open, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.ring import Ring
 from sorreldock.wire import decode_settings
 
@@ -174,7 +174,7 @@
 @story
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
     async with among(Engine()) as router:
-        router.program.budget.most[Use.CLIENT] = 3
+        router.program.budget.max_used[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
         for wire in idle:
@@ -203,7 +203,7 @@
 
 
 def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
-    budget = Descriptors(100)
+    budget = DescriptorBudget(100)
     held = sum(budget.take(Use.ENGINE) for _ in range(100))
     assert held == 42 and budget.used[Use.CLIENT] == 0
 
@@ -212,21 +212,21 @@
         return True
 
     robbed: list[int] = []
-    budget.evictors[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
+    budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
     assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
     assert robbed == [*range(1024), *range(1024)]
-    budget.share(20)  # another process of this router has the rest
-    budget.let_go()
+    budget.set_portion(20)  # another process of this router has the rest
+    budget.close_excess_idle()
     assert budget.used[Use.ENGINE] == 10
-    budget.share(None)
-    assert budget.most[Use.ENGINE] == 42
+    budget.set_portion(None)
+    assert budget.max_used[Use.ENGINE] == 42
 
 
 def test_the_budgets_follow_the_limits() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
     assert [most_open(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
-        most = Descriptors(limit).most
+        most = DescriptorBudget(limit).max_used
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -16,7 +16,7 @@
 from sorreldock.protocol.http.front import ClientConnection
 from sorreldock.routing.permissions import Audit, Denial, Rule, may_begin, may_write, write_until
 from sorreldock.routing.types import Outcome
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection, LocalShortage, closed_by_peer, dial
 from sorreldock.transport.failures import is_local_shortage, is_passing
 from sorreldock.transport.system import Machine
@@ -143,7 +143,7 @@
         with pytest.raises(LocalShortage):
             await dial(address, 0.05, lambda: closed.append(True), NoDescriptors(1 << 30))
         assert len(closed) == 2
-        budget = Descriptors(364)
+        budget = DescriptorBudget(364)
         while budget.take(Use.ENGINE):
             pass
         client = HttpEngineClient(address, budget, 1.0, 60.0, "/alive")
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -19,7 +19,7 @@
 from sorreldock.program.phases import Phase
 from sorreldock.protocol.http.arrivals import Arrivals
 from sorreldock.protocol.http.discovery import decode_result
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection
 from sorreldock.transport.listener import Listener
 
@@ -114,7 +114,7 @@
 
 @story
 async def test_connections_in_the_backlog_are_served_when_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -161,7 +161,7 @@
 
 @story
 async def test_the_backlog_is_served_though_accepts_fail_for_a_moment_as_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -185,7 +185,7 @@
 
 @story
 async def test_a_newcomer_is_served_once_there_are_descriptors_again() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -228,7 +228,7 @@
 
 @story
 async def test_nobody_can_connect_before_the_program_serves() -> None:
-    listener = Listener("127.0.0.1:0", Descriptors(1024))
+    listener = Listener("127.0.0.1:0", DescriptorBudget(1024))
     host, port = (await listener.bind()).rsplit(":", 1)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection((host, int(port)))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,7 +24,7 @@
 from sorreldock.program import handover
 from sorreldock.program.takeover import NAME, Link, Takeover
 from sorreldock.routing.types import ResolverResult, Target
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 
 POST = "/v1/chat/completions"
 
@@ -191,9 +191,9 @@
         leaves = handover.portion(usable, held, True, 150, False)
         assert leaves + handover.portion(usable, 0, False, held, True) <= usable
     assert handover.portion(usable, 0, False, 0, True) == usable - handover.LEAVERS_PART
-    budget = Descriptors(364)
+    budget = DescriptorBudget(364)
     assert all(budget.take(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
-    budget.share(handover.portion(usable, 80, True, 0, False), leaving=True)
+    budget.set_portion(handover.portion(usable, 80, True, 0, False), leaving=True)
     assert not budget.take(Use.CLIENT)  # nobody new, but attempts of what it has taken
     assert sum(budget.take(Use.ENGINE) for _ in range(100)) == handover.LEAVERS_PART
 
@@ -223,7 +223,9 @@
 async def test_each_notice_reaches_every_other_process_and_what_is_out_counts() -> None:
     """One that follows may have a predecessor that still ends and a successor that has just begun."""
     cores = [Told() for _ in range(3)]
-    made = [Takeover("", c, None, Descriptors(364), lambda *a, **k: None, 1, lambda o: None) for c in cores]  # type: ignore[arg-type]
+    made = [
+        Takeover("", c, None, DescriptorBudget(364), lambda *a, **k: None, 1, lambda o: None) for c in cores
+    ]  # type: ignore[arg-type]
     async with trio.open_nursery() as nursery:
         for a, b in ((0, 1), (1, 2)):
             for one, end in zip((a, b), trio.socket.socketpair(), strict=True):
