--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -23,7 +23,7 @@
 from ...routing.types import Outcome
 from ...rules import Gateway
 from ...transport.budget import PayloadBudget
-from ...transport.pool import Pool
+from ...transport.pool import ConnectionPool
 from .explore import Explored, explore_here
 from .scenario import draw
 
@@ -139,14 +139,14 @@
 
 
 def _descriptor_leak() -> list[Patch]:
-    give_back = Pool.give_back
+    give_back = ConnectionPool.give_back
 
     def leaks(self: Any, line: Any, whole: bool) -> None:
         if not whole:
             line.connection._on_close = lambda: None
         give_back(self, line, whole)
 
-    return [(Pool, "give_back", leaks)]
+    return [(ConnectionPool, "give_back", leaks)]
 
 
 def _ends_whole() -> list[Patch]:
--- a/sorreldock/protocol/engine.py
+++ b/sorreldock/protocol/engine.py
@@ -10,7 +10,7 @@
 from ..interface import Status
 from ..routing.types import RPC, CallProgress, Report
 from ..transport.connection import ConnectionLost, DialFailed, LocalShortage, NoListener
-from ..transport.pool import Line, Pool
+from ..transport.pool import ConnectionPool, PooledConnection
 
 # An engine that goes silent within a stream: its client would wait for ever, since a vanished machine says
 # nothing. Longer than a slow engine's pause between events, shorter than the 5 s that the platform allows.
@@ -38,14 +38,14 @@
     return Status.NO_LISTENER if isinstance(error, NoListener) else Status.CONNECT_FAILED
 
 
-L = TypeVar("L", bound=Line)
+L = TypeVar("L", bound=PooledConnection)
 E = TypeVar("E")
 
 
 class PooledEngineClient(ABC, Generic[L, E]):
     """`L` is a connection with its parser, `E` an exchange on it."""
 
-    def __init__(self, pool: Pool[L]) -> None:
+    def __init__(self, pool: ConnectionPool[L]) -> None:
         self._pool = pool
         self.close_idle = pool.close_idle
         self.discard = pool.discard
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -11,7 +11,7 @@
 from ...routing.types import RPC, CallProgress, Report
 from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
-from ...transport.pool import Pool
+from ...transport.pool import ConnectionPool
 from .. import engine
 from ..engine import PooledEngineClient, ProtocolFault
 from ..loads import HEADER, parse_load
@@ -154,10 +154,12 @@
         conn_idle_s: float,
         probe_path: str,
         dial: Dial = dial,
-        most_idle: int = 1 << 30,
+        max_idle: int = 1 << 30,
     ) -> None:
         super().__init__(
-            Pool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial, most_idle, REST_S)
+            ConnectionPool(
+                address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial, max_idle, REST_S
+            )
         )
         self._host = address.encode()
         self._probe_path = probe_path.encode()
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -29,7 +29,7 @@
 from ...routing.types import RPC, CallProgress, Report
 from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
-from ...transport.pool import Pool
+from ...transport.pool import ConnectionPool
 from .. import engine
 from ..engine import NeverTaken, PooledEngineClient, ProtocolFault
 from ..loads import HEADER, parse_load
@@ -185,7 +185,7 @@
         conn_idle_s: float,
         dial: Dial = dial,
     ) -> None:
-        super().__init__(Pool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial))
+        super().__init__(ConnectionPool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial))
         self._address = address
 
     async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> Exchange:
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -11,7 +11,7 @@
 from .connection import Connection, Dial, LocalShortage, dial
 
 
-class Line(Protocol):
+class PooledConnection(Protocol):
     """A connection with its parser."""
 
     @property
@@ -24,15 +24,15 @@
         """Make ready for the next call, after one that went to its end; False if there can be none."""
 
 
-L = TypeVar("L", bound=Line)
+L = TypeVar("L", bound=PooledConnection)
 
 
-class Pool(Generic[L]):
+class ConnectionPool(Generic[L]):
     """The idle connections to one engine."""
 
     # An engine closes a connection that stood idle for `conn_idle_s`, and what is written to it from then on
     # ends in a reset. Guards against that race: nothing idle for more than this share of it is used again.
-    REUSED_BEFORE = 0.75
+    MAX_IDLE_SHARE = 0.75
 
     def __init__(
         self,
@@ -42,17 +42,17 @@
         connect_timeout_s: float,
         conn_idle_s: float,
         dial: Dial = dial,
-        most_idle: int = 1 << 30,
-        rest_s: float = 0.0,
+        max_idle: int = 1 << 30,
+        min_idle_s: float = 0.0,
     ) -> None:
         self.address = address
         self._wrap = wrap
         self._budget = budget
         self._dial = dial
         self._connect_timeout_s = connect_timeout_s
-        self._reusable_s = conn_idle_s * self.REUSED_BEFORE
-        self._most_idle = most_idle
-        self._rest_s = rest_s  # how long a connection stays unused after a call
+        self._reusable_s = conn_idle_s * self.MAX_IDLE_SHARE
+        self._max_idle = max_idle
+        self._min_idle_s = min_idle_s  # how long a connection stays unused after a call
         self._idle: list[tuple[float, L]] = []  # the last one put back is the first one taken
         budget.eviction_callbacks[Use.ENGINE].append(self.evict)
 
@@ -70,7 +70,7 @@
 
     def _take_rested(self) -> tuple[float, L] | None:
         """The idle line put back last among those that have rested."""
-        rested_since = trio.current_time() - self._rest_s
+        rested_since = trio.current_time() - self._min_idle_s
         for place in range(len(self._idle) - 1, -1, -1):
             if self._idle[place][0] <= rested_since:
                 return self._idle.pop(place)
@@ -81,7 +81,7 @@
         if whole and line.renew():
             line.connection.rest()
             self._idle.append((trio.current_time(), line))
-            if len(self._idle) > self._most_idle:
+            if len(self._idle) > self._max_idle:
                 self.evict()
         else:
             line.connection.close()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -24,7 +24,7 @@
 from sorreldock.protocol.http import freshness
 from sorreldock.routing.subchannel import CallAttempt, Subchannel
 from sorreldock.transport.connection import Connection
-from sorreldock.transport.pool import Pool
+from sorreldock.transport.pool import ConnectionPool
 
 ONE = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: alt-text\r\n"
@@ -198,7 +198,7 @@
         for _ in range(3):
             await router.post()
         assert engine.connections == 1
-        monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
+        monkeypatch.setattr(ConnectionPool, "MAX_IDLE_SHARE", 0.0)
     engine = Engine()
     async with among(engine) as router:
         await router.post()
