--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -49,7 +49,7 @@
             text = self._answer(*await self._line(connection))
             with trio.move_on_after(ANSWER_S):
                 await connection.send(text.encode() + b"\n")
-            await connection.hang_up(HANG_UP_S, QUIET_S)
+            await connection.lingering_close(HANG_UP_S, QUIET_S)
         except ConnectionLost:
             pass  # nobody is there to hear it
 
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -20,7 +20,7 @@
 from ..routing.types import Log, ResolverResult, Target
 from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection
-from ..transport.failures import repeated
+from ..transport.failures import retry_transient
 from ..transport.listener import Listener
 from . import handover
 from .handover import Broken
@@ -65,9 +65,9 @@
                     rights = []
                     if descriptor is not None:
                         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-                    data = data[await repeated(partial(self._sock.sendmsg, [data], rights)) :]
+                    data = data[await retry_transient(partial(self._sock.sendmsg, [data], rights)) :]
                     while data:
-                        data = data[await repeated(partial(self._sock.send, data)) :]
+                        data = data[await retry_transient(partial(self._sock.send, data)) :]
                     return True
                 except (OSError, trio.ClosedResourceError):
                     pass
@@ -79,7 +79,7 @@
         while not self._waiting:
             try:
                 space = socket.CMSG_SPACE(MOST_FDS * NUMBER)
-                data, rights, flags, _ = await repeated(partial(self._sock.recvmsg, 65536, space))
+                data, rights, flags, _ = await retry_transient(partial(self._sock.recvmsg, 65536, space))
             except (OSError, trio.ClosedResourceError) as error:
                 raise Broken(str(error) or "closed") from None
             for level, kind, payload in rights:
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -104,7 +104,7 @@
         self.finished.set()
 
     def left(self) -> bool:
-        return self.connection.ended()
+        return self.connection.has_peer_closed()
 
     # The wire's side.
 
@@ -186,7 +186,7 @@
             self.hung_up = True
             with trio.CancelScope() as self.waiting:
                 self.reach(Stage.IDLE)
-                await self.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                await self.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
 
     def begun(self) -> bool:
         """Whether a part of the next request has been read."""
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from .failures import is_local_shortage, is_passing, repeated
+from .failures import is_local_shortage, is_transient, retry_transient
 from .ring import Ring
 from .system import MACHINE, System
 
@@ -72,7 +72,7 @@
                 self._incoming.let_go()
                 await self._wait_readable(self._sock)
             self._reading = True  # bytes leave the kernel a pass before they are counted below
-            count: int = await repeated(lambda: self._sock.recv_into(self._incoming.free_span()))
+            count: int = await retry_transient(lambda: self._sock.recv_into(self._incoming.free_span()))
         except (OSError, trio.ClosedResourceError) as error:
             raise ConnectionLost(str(error)) from None
         finally:
@@ -94,7 +94,7 @@
             await self.fill()
         return self._incoming.take()
 
-    def rest(self) -> None:
+    def release_buffers(self) -> None:
         """Nothing is under way."""
         self._incoming.let_go()
 
@@ -116,19 +116,19 @@
     async def _push(self) -> None:
         if not self._no_delay:
             self._no_delay = set_no_delay(self._sock)
-        sent = await repeated(lambda: self._sock.send(self._outgoing.held_span()))
+        sent = await retry_transient(lambda: self._sock.send(self._outgoing.held_span()))
         self._outgoing.shrank(sent)
 
-    async def hang_up(self, within_s: float, quiet_s: float) -> None:
+    async def lingering_close(self, within_s: float, quiet_s: float) -> None:
         """End sending, then read on and discard until the peer ends too. Guards the last answer: a close
         while bytes still come makes the system send a reset, which may overtake what is not read yet.
         """
         try:
             with trio.move_on_after(within_s):
-                await repeated(self._shut_down)
+                await retry_transient(self._shut_down)
                 while True:
                     with trio.move_on_after(quiet_s) as quiet:
-                        if not await repeated(lambda: self._sock.recv_into(DISCARDED)):
+                        if not await retry_transient(lambda: self._sock.recv_into(DISCARDED)):
                             return
                     if quiet.cancelled_caught:
                         return
@@ -138,7 +138,7 @@
     async def _shut_down(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
 
-    def ended(self) -> bool:
+    def has_peer_closed(self) -> bool:
         """Whether the peer has closed or reset the connection; a look without waiting.
 
         The kernel tells of an end behind any amount of unread bytes. Elsewhere what has come is read into the
@@ -153,7 +153,7 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            return not is_passing(error)
+            return not is_transient(error)
         except trio.ClosedResourceError:
             return True
         self._incoming.grew(count)
@@ -253,7 +253,7 @@
 
     try:
         with trio.fail_after(timeout_s):
-            sock = await repeated(connect, is_shortage)
+            sock = await retry_transient(connect, is_shortage)
     except trio.TooSlowError:
         on_close()
         raise LocalShortage(str(shortages[0])) if shortages else DialFailed("timed out") from None
--- a/sorreldock/transport/failures.py
+++ b/sorreldock/transport/failures.py
@@ -17,18 +17,18 @@
 FIRST_PAUSE_S = 0.002
 LONGEST_PAUSE_S = 0.05
 
-PASSING = frozenset({errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS})
+TRANSIENT = frozenset({errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS})
 # Of a new socket: no descriptor is left, which ends as others are closed.
-RESOURCE_SHORTAGE = PASSING | {errno.EMFILE, errno.ENFILE}
+RESOURCE_SHORTAGE = TRANSIENT | {errno.EMFILE, errno.ENFILE}
 # Of a new connection: no local port either.
 LOCAL_SHORTAGE = RESOURCE_SHORTAGE | {errno.EADDRNOTAVAIL}
 
 T = TypeVar("T")
 
 
-def is_passing(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether a call on an open connection may succeed when it is repeated."""
-    return error.errno in PASSING
+    return error.errno in TRANSIENT
 
 
 def is_resource_shortage(error: OSError) -> bool:
@@ -41,14 +41,16 @@
     return error.errno in LOCAL_SHORTAGE
 
 
-async def repeated(call: Callable[[], Awaitable[T]], repeatable: Callable[[OSError], bool] = is_passing) -> T:
+async def retry_transient(
+    call: Callable[[], Awaitable[T]], is_retryable: Callable[[OSError], bool] = is_transient
+) -> T:
     """Repeat a call while it fails in passing; the caller bounds the time. Other errors go through."""
     pause_s = FIRST_PAUSE_S
     while True:
         try:
             return await call()
         except OSError as error:
-            if not repeatable(error):
+            if not is_retryable(error):
                 raise
         await trio.sleep(pause_s)
         pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -11,7 +11,7 @@
 
 from .budget import DescriptorBudget, Use
 from .connection import Connection, split_address
-from .failures import is_resource_shortage, repeated
+from .failures import is_resource_shortage, retry_transient
 from .system import MACHINE, System
 
 ACCEPT_PAUSE_S = 0.01  # after a failed accept: the system may be short of descriptors or memory
@@ -48,12 +48,12 @@
             return self._name()
         shortages: list[OSError] = []
 
-        def is_passing(error: OSError) -> bool:
+        def is_transient(error: OSError) -> bool:
             shortages.append(error)
             return is_resource_shortage(error)
 
         with trio.move_on_after(BIND_S) as scope:
-            self._sock = await repeated(self._bound, is_passing)
+            self._sock = await retry_transient(self._bound, is_transient)
         if scope.cancelled_caught:
             raise shortages[-1]
         return self._name()
@@ -61,7 +61,7 @@
     async def listen(self) -> None:
         """Let clients connect; of no effect on a socket that listens already."""
         if not self._inherited and not self._listens:
-            await repeated(self._listen, is_resource_shortage)
+            await retry_transient(self._listen, is_resource_shortage)
             self._listens = True
 
     async def _listen(self) -> None:
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -79,7 +79,7 @@
     def give_back(self, line: L, whole: bool) -> None:
         """Keep the connection if its last exchange went to its end, else close it."""
         if whole and line.renew():
-            line.connection.rest()
+            line.connection.release_buffers()
             self._idle.append((trio.current_time(), line))
             if len(self._idle) > self._max_idle:
                 self.evict()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -343,11 +343,11 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(ours), lambda: None)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.send(b"ahead")
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.close()
-    assert connection.ended() and await connection.receive() == b"ahead"
+    assert connection.has_peer_closed() and await connection.receive() == b"ahead"
 
 
 @story
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -18,7 +18,7 @@
 from sorreldock.routing.types import Outcome
 from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection, LocalShortage, closed_by_peer, dial
-from sorreldock.transport.failures import is_local_shortage, is_passing
+from sorreldock.transport.failures import is_local_shortage, is_transient
 from sorreldock.transport.system import Machine
 
 ALLOWED: dict[str, Any] = {
@@ -114,7 +114,7 @@
     ends = {errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.ENOTCONN, errno.EBADF, errno.ECONNREFUSED}
     local = passing | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
     for number in passing | ends | local:
-        assert is_passing(OSError(number, "")) is (number in passing)
+        assert is_transient(OSError(number, "")) is (number in passing)
         assert is_local_shortage(OSError(number, "")) is (number in local)
 
 
@@ -170,7 +170,7 @@
         ours = trio.socket.from_stdlib_socket(listener.accept()[0])
     monkeypatch.setattr(type(ours), "getsockopt", FailingLook.getsockopt)
     connection = Connection(ours, lambda: None)
-    assert not closed_by_peer(ours) and not connection.ended()
+    assert not closed_by_peer(ours) and not connection.has_peer_closed()
     theirs.close()
-    assert connection.ended()  # seen by reading
+    assert connection.has_peer_closed()  # seen by reading
     connection.close()
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -62,9 +62,9 @@
     ours.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(ours), lambda: None)
     theirs.sendall(b"x" * 50_000)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.close()  # loopback delivers it before the call returns
-    assert connection.ended()
+    assert connection.has_peer_closed()
     connection.close()
 
 
