--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -9,7 +9,7 @@
 import trio
 
 from .failures import is_local_shortage, is_transient, retry_transient
-from .ring import Ring
+from .ring import RingBuffer
 from .system import MACHINE, System
 
 RING_BYTES = 16384
@@ -59,25 +59,25 @@
         self._wait_readable = wait_readable
         self._on_close = on_close
         self._closed = self._reading = False
-        self._incoming = Ring(RING_BYTES)
-        self._outgoing = Ring(RING_BYTES)
+        self._incoming = RingBuffer(RING_BYTES)
+        self._outgoing = RingBuffer(RING_BYTES)
         self._no_delay = sock.family == socket.AF_UNIX or set_no_delay(sock)
 
     async def fill(self) -> int:
         """Read into the ring and leave it there; 0 at the end. Waits for ever while the ring is full."""
-        if not self._incoming.room:
+        if not self._incoming.free_bytes:
             await trio.sleep_forever()
         try:
             if not self._incoming and not self._sock.is_readable():
-                self._incoming.let_go()
+                self._incoming.free_memory()
                 await self._wait_readable(self._sock)
             self._reading = True  # bytes leave the kernel a pass before they are counted below
-            count: int = await retry_transient(lambda: self._sock.recv_into(self._incoming.free_span()))
+            count: int = await retry_transient(lambda: self._sock.recv_into(self._incoming.writable_span()))
         except (OSError, trio.ClosedResourceError) as error:
             raise ConnectionLost(str(error)) from None
         finally:
             self._reading = False
-        self._incoming.grew(count)
+        self._incoming.commit_written(count)
         return count
 
     def fileno(self) -> int:
@@ -92,11 +92,11 @@
         """What has arrived, for the parser; empty at the peer's end."""
         if not self._incoming:
             await self.fill()
-        return self._incoming.take()
+        return self._incoming.read_all()
 
     def release_buffers(self) -> None:
         """Nothing is under way."""
-        self._incoming.let_go()
+        self._incoming.free_memory()
 
     async def send(self, *parts: bytes) -> None:
         """Write all parts; they meet in the ring, so that a short head and its body leave together."""
@@ -104,20 +104,20 @@
             for part in parts:
                 view = memoryview(part)
                 while view:
-                    view = view[self._outgoing.put(view) :]
-                    if not self._outgoing.room:
+                    view = view[self._outgoing.write(view) :]
+                    if not self._outgoing.free_bytes:
                         await self._push()
             while self._outgoing:
                 await self._push()
-            self._outgoing.let_go()
+            self._outgoing.free_memory()
         except (OSError, trio.ClosedResourceError) as error:  # the latter where another task has closed it
             raise ConnectionLost(str(error)) from None
 
     async def _push(self) -> None:
         if not self._no_delay:
             self._no_delay = set_no_delay(self._sock)
-        sent = await retry_transient(lambda: self._sock.send(self._outgoing.held_span()))
-        self._outgoing.shrank(sent)
+        sent = await retry_transient(lambda: self._sock.send(self._outgoing.readable_span()))
+        self._outgoing.consume(sent)
 
     async def lingering_close(self, within_s: float, quiet_s: float) -> None:
         """End sending, then read on and discard until the peer ends too. Guards the last answer: a close
@@ -146,17 +146,17 @@
         """
         if self.closed_by_peer:
             return True
-        if self._reading or not self._incoming.room or not self._sock.is_readable():
+        if self._reading or not self._incoming.free_bytes or not self._sock.is_readable():
             return False
         try:
-            count = read_now(self._sock, self._incoming.free_span())
+            count = read_now(self._sock, self._incoming.writable_span())
         except BlockingIOError:
             return False
         except OSError as error:
             return not is_transient(error)
         except trio.ClosedResourceError:
             return True
-        self._incoming.grew(count)
+        self._incoming.commit_written(count)
         return count == 0
 
     @property
--- a/sorreldock/transport/ring.py
+++ b/sorreldock/transport/ring.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Ring:
+class RingBuffer:
     """A ring buffer that holds no memory while it is empty."""
 
     __slots__ = ("_capacity", "_size", "_start", "_view")
@@ -18,7 +18,7 @@
         return self._size
 
     @property
-    def room(self) -> int:
+    def free_bytes(self) -> int:
         return self._capacity - self._size
 
     def _bytes(self) -> memoryview:
@@ -26,47 +26,47 @@
             self._view = memoryview(bytearray(self._capacity))
         return self._view
 
-    def let_go(self) -> None:
+    def free_memory(self) -> None:
         """Give the memory back while nothing is held. Guards the memory limit: most connections of a long day
         are idle, and two rings of each would be more than all that is under way.
         """
         if not self._size:
             self._view = None
 
-    def free_span(self) -> memoryview:
-        """The longest free stretch that lies in one piece, to be written and then claimed by `grew`."""
+    def writable_span(self) -> memoryview:
+        """Return the contiguous free bytes after the data, to be written before `commit_written`."""
         end = self._start + self._size
         if end < self._capacity:
             return self._bytes()[end:]
         return self._bytes()[end - self._capacity : self._start]
 
-    def grew(self, count: int) -> None:
+    def commit_written(self, count: int) -> None:
         self._size += count
 
-    def held_span(self) -> memoryview:
-        """The oldest bytes that lie in one piece, to be consumed and then dropped by `shrank`."""
+    def readable_span(self) -> memoryview:
+        """Return the oldest contiguous bytes, to be processed and then dropped by `consume`."""
         return self._bytes()[self._start : min(self._start + self._size, self._capacity)]
 
-    def shrank(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         self._size -= count
         self._start = 0 if self._size == 0 else (self._start + count) % self._capacity
 
-    def put(self, data: memoryview) -> int:
+    def write(self, data: memoryview) -> int:
         """Copy in as much as there is room for; tells how much that was."""
         done = 0
-        while done < len(data) and self.room:
-            span = self.free_span()
+        while done < len(data) and self.free_bytes:
+            span = self.writable_span()
             count = min(len(span), len(data) - done)
             span[:count] = data[done : done + count]
-            self.grew(count)
+            self.commit_written(count)
             done += count
         return done
 
-    def take(self) -> bytes:
+    def read_all(self) -> bytes:
         """All that is held, in order."""
         parts = []
         while self._size:
-            span = self.held_span()
+            span = self.readable_span()
             parts.append(bytes(span))
-            self.shrank(len(span))
+            self.consume(len(span))
         return b"".join(parts)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,26 +21,26 @@
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
 from sorreldock.transport.budget import DescriptorBudget, Use
-from sorreldock.transport.ring import Ring
+from sorreldock.transport.ring import RingBuffer
 from sorreldock.wire import decode_settings
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=40))))
 def test_a_ring_gives_back_what_was_put_in_order(steps: list[tuple[bool, bytes]]) -> None:
-    ring, expected = Ring(32), b""
+    ring, expected = RingBuffer(32), b""
     for take, data in steps:
         if take:
-            assert ring.take() == expected
+            assert ring.read_all() == expected
             expected = b""
         else:
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 32 - len(expected))
             expected += data[:done]
-            span = bytes(ring.held_span())[:3]
+            span = bytes(ring.readable_span())[:3]
             assert expected.startswith(span)
-            ring.shrank(len(span))
+            ring.consume(len(span))
             expected = expected[len(span) :]
-    assert ring.take() == expected
+    assert ring.read_all() == expected
 
 
 @given(st.lists(st.integers(1, 20)))
