--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..routing.types import Log, Router
-from ..transport.admission import EvictionQueue, Stage, evictable
+from ..transport.admission import EvictionQueue, Stage, select_evictions
 from ..transport.budget import DescriptorBudget, PayloadBudget, Use
 from ..transport.connection import Connection
 
@@ -109,7 +109,7 @@
         client = self.attend(connection)
         client.spoken = spoken
         self.clients[client] = None
-        self.queue.enter(client)
+        self.queue.add(client)
         try:
             await client.run()
         except Exception as error:  # a peer's fault never ends the program
@@ -118,7 +118,7 @@
                 self.core.closed_owing("", repr(error))
         finally:
             del self.clients[client]
-            self.queue.leave(client)
+            self.queue.remove(client)
 
     @property
     def refuses(self) -> bool:
@@ -127,7 +127,7 @@
 
     def make_room(self) -> bool:
         """Close a client connection for a newcomer, or some; tells whether there was one."""
-        shed = [c for c in self.queue.evictable(trio.current_time(), SHED_AT_ONCE) if not c.readable]
+        shed = [c for c in self.queue.select_evictions(trio.current_time(), SHED_AT_ONCE) if not c.readable]
         for client in shed:
             self.shed[client.stage.value] += 1
             client.make_room()
@@ -138,8 +138,10 @@
         half way: the one that has been silent longest lets go of its bytes.
         """
         while not self.payloads.take(count):
-            others = (c for c in self.clients if c.stage is Stage.HALF and c.held_bytes and c is not client)
-            stopped = evictable(others, trio.current_time(), 1)
+            others = (
+                c for c in self.clients if c.stage is Stage.PARTIAL and c.held_bytes and c is not client
+            )
+            stopped = select_evictions(others, trio.current_time(), 1)
             if not stopped or stopped[0].readable:
                 return False
             self.shed["payload"] += 1
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -61,7 +61,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        return self.stage in (Stage.HALF, Stage.TAKEN)
+        return self.stage in (Stage.PARTIAL, Stage.TAKEN)
 
     def close_if_idle(self) -> bool:
         if self.hung_up:  # its last answer may be unread, and a close could turn it into a reset
@@ -82,7 +82,7 @@
 
     def reach(self, stage: Stage) -> None:
         self.stage, self.since = stage, trio.current_time()
-        self.front.queue.enter(self)
+        self.front.queue.add(self)
 
     # The core's side.
 
@@ -212,7 +212,7 @@
             self.waiting = None
             if not self.connection.unread and (self.front.passed_on or not await self.came_meanwhile()):
                 return None
-        self.reach(Stage.HALF)
+        self.reach(Stage.PARTIAL)
         if self.spoken:
             head_by = trio.current_time() + limits.HEAD_S
         self.spoken = True
@@ -242,7 +242,7 @@
                     raise Answered(503, "too much was sent ahead", (CLOSE,))
                 data = await self.connection.receive()
                 self.since = trio.current_time()
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
                 self.arrivals.add(len(data), self.since)
                 self.parser.receive_data(data)
             elif isinstance(event, h11.ConnectionClosed):
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -77,7 +77,7 @@
             self.wire.consumed(stream.number, stream.unread)
         if not self.streams:
             self.idle_since = trio.current_time()
-            self.front.queue.enter(self)
+            self.front.queue.add(self)
         if (self.gone or (self.going and not self.front.accepting)) and not self.streams:
             self.ending.set()
 
@@ -123,7 +123,7 @@
             for event in events:
                 self.take(event, nursery)
             if not self.streams:
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
             self.wire.hand_over()
 
     def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
@@ -139,7 +139,7 @@
                     return
                 headers = [(str(k), str(v)) for k, v in event.headers]
                 stream = self.streams[event.stream_id] = ClientStream(self, event.stream_id, headers)
-                self.front.queue.leave(self)
+                self.front.queue.remove(self)
                 nursery.start_soon(stream.run)
                 if not self.front.accepting:  # it came while the router was drained: this call and no more
                     self.go_away()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,13 @@
 from test_bad_days import raw
 
 from sorreldock.transport import admission
-from sorreldock.transport.admission import PATIENCE_S, EvictionQueue, Stage, evictable, patience_used
+from sorreldock.transport.admission import (
+    STAGE_TIMEOUT_S,
+    EvictionQueue,
+    Stage,
+    select_evictions,
+    timeout_fraction,
+)
 from sorreldock.transport.budget import Use
 
 
@@ -32,14 +38,16 @@
     candidates: list[Candidate], most: int
 ) -> None:
     now = 10.0
-    going = evictable(candidates, now, most)
-    others = [g for g in candidates if g.stage is not Stage.TAKEN and now - g.since >= admission.LEAST_S]
+    going = select_evictions(candidates, now, most)
+    others = [
+        g for g in candidates if g.stage is not Stage.TAKEN and now - g.since >= admission.MIN_STAGE_AGE_S
+    ]
     assert len(going) <= most and bool(going) == bool(others)
     assert all(g in others for g in going)
-    parts = [patience_used(g, now) for g in going]
+    parts = [timeout_fraction(g, now) for g in going]
     assert parts == sorted(parts, reverse=True) and all(part >= 1.0 for part in parts[1:])
     if going:
-        assert parts[0] == max(patience_used(g, now) for g in others)
+        assert parts[0] == max(timeout_fraction(g, now) for g in others)
 
 
 @given(CANDIDATES, st.integers(1, 8), st.data())
@@ -49,34 +57,34 @@
     queue: EvictionQueue[Candidate] = EvictionQueue()
     here = list(dict.fromkeys(sorted(candidates, key=lambda candidate: candidate.since)))
     for candidate in here:
-        queue.enter(candidate)
+        queue.add(candidate)
     for candidate in data.draw(st.lists(st.sampled_from(here), unique=True)) if here else []:
-        queue.leave(candidate)
+        queue.remove(candidate)
         here.remove(candidate)
-    told = [patience_used(candidate, 10.0) for candidate in queue.evictable(10.0, most)]
-    assert told == [patience_used(candidate, 10.0) for candidate in evictable(here, 10.0, most)]
+    told = [timeout_fraction(candidate, 10.0) for candidate in queue.select_evictions(10.0, most)]
+    assert told == [timeout_fraction(candidate, 10.0) for candidate in select_evictions(here, 10.0, most)]
 
 
 def test_who_goes_before_whom() -> None:
     now = 100.0
-    slow, silent = Candidate(Stage.HALF, now - 1.0), Candidate(Stage.SILENT, now - 0.4)
+    slow, silent = Candidate(Stage.PARTIAL, now - 1.0), Candidate(Stage.SILENT, now - 0.4)
     idle = Candidate(Stage.IDLE, now - 1)
     stopped, fresh, taken = (
-        Candidate(Stage.HALF, now - 3),
+        Candidate(Stage.PARTIAL, now - 3),
         Candidate(Stage.SILENT, now),
         Candidate(Stage.TAKEN, now - 9),
     )
     candidates = [taken, fresh, slow, silent, idle, stopped]
-    assert patience_used(slow, now) < patience_used(
+    assert timeout_fraction(slow, now) < timeout_fraction(
         Candidate(Stage.IDLE, now - 0.1), now
     )  # nothing is lost with the idle one
     assert (
-        patience_used(Candidate(Stage.HALF, now - PATIENCE_S[Stage.HALF] + 0.01), now)
+        timeout_fraction(Candidate(Stage.PARTIAL, now - STAGE_TIMEOUT_S[Stage.PARTIAL] + 0.01), now)
         < 1.0
-        < patience_used(stopped, now)
+        < timeout_fraction(stopped, now)
     )
     order = []
-    while gone := evictable(candidates, now, 1):
+    while gone := select_evictions(candidates, now, 1):
         order += gone
         candidates.remove(gone[0])
     assert order == [stopped, silent, idle, slow]
@@ -132,7 +140,7 @@
         stopped = await half_sent(router, head + b"\r\n\r\n" + b"x" * 59_000)
         while payloads.used < 59_000:
             await trio.sleep(0.005)
-        await trio.sleep(2 * admission.LEAST_S)  # a part of the patience that it may use up
+        await trio.sleep(2 * admission.MIN_STAGE_AGE_S)  # a part of the patience that it may use up
         large = await router.post(b"y" * 70_000, x_trace_id="large")
         assert large.whole and payloads.used <= 100_000
         assert await stopped.stream.receive_some(1) == b""
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -142,7 +142,7 @@
 
 @story
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admission, "LEAST_S", 0.0)
+    monkeypatch.setattr(admission, "MIN_STAGE_AGE_S", 0.0)
     async with among(Engine()) as router:
         usual = await router.connect()
         await usual.stream.send_all(raw())
