--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -139,14 +139,14 @@
 
 
 def _descriptor_leak() -> list[Patch]:
-    give_back = ConnectionPool.give_back
+    release = ConnectionPool.release
 
     def leaks(self: Any, line: Any, whole: bool) -> None:
         if not whole:
             line.connection._on_close = lambda: None
-        give_back(self, line, whole)
+        release(self, line, whole)
 
-    return [(ConnectionPool, "give_back", leaks)]
+    return [(ConnectionPool, "release", leaks)]
 
 
 def _ends_whole() -> list[Patch]:
@@ -201,7 +201,7 @@
     "payload-leak": Mutant(
         "payloads are not given back",
         "leak",
-        lambda: [(PayloadBudget, "give_back", lambda self, count: None)],
+        lambda: [(PayloadBudget, "release", lambda self, count: None)],
     ),
     "names-leak": Mutant("names of ended RPCs are kept", "leak", _names_leak),
     "forgotten-end": Mutant("the module does not hear of an attempt not made", "leak", _forgotten_end),
--- a/sorreldock/protocol/engine.py
+++ b/sorreldock/protocol/engine.py
@@ -90,7 +90,7 @@
             whole = True
             return report
         finally:  # a connection that is not kept is closed, which gives the attempt up
-            self._pool.give_back(line, whole)
+            self._pool.release(line, whole)
 
     async def probe(self) -> Report:
         with trio.move_on_after(PROBE_S):
@@ -106,5 +106,5 @@
             except (ConnectionLost, ProtocolFault) as error:
                 return Report(Status.RESET, note=str(error))
             finally:
-                self._pool.give_back(line, whole)
+                self._pool.release(line, whole)
         return Report(Status.TIMEOUT)
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -137,7 +137,7 @@
         """Room in memory for bytes of a request. Guards requests that go on against those that have stopped
         half way: the one that has been silent longest lets go of its bytes.
         """
-        while not self.payloads.take(count):
+        while not self.payloads.acquire(count):
             others = (
                 c for c in self.clients if c.stage is Stage.PARTIAL and c.held_bytes and c is not client
             )
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -122,12 +122,12 @@
         return [(b"connection", b"close")] if ends else []
 
     def release_body(self) -> None:
-        self.front.payloads.give_back(self.held_bytes)
+        self.front.payloads.release(self.held_bytes)
         self.held_bytes = 0
 
     def release_ahead(self) -> None:
         """What was sent ahead is parsed, or nobody's any longer."""
-        self.front.payloads.give_back(self.ahead_bytes)
+        self.front.payloads.release(self.ahead_bytes)
         self.ahead_bytes = 0
 
     async def run(self) -> None:
@@ -339,7 +339,7 @@
     def keep_ahead(self, data: bytes) -> None:
         """Keep what belongs to later requests for the parser, within the bounds on memory."""
         room = self.ahead_bytes + len(data) <= LARGEST_AHEAD
-        if self.dropping or not room or not self.front.payloads.take(len(data)):
+        if self.dropping or not room or not self.front.payloads.acquire(len(data)):
             self.dropping = True
             return
         self.ahead_bytes += len(data)
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -76,7 +76,7 @@
 
     def feed(self, data: bytes, length: int) -> None:
         self.unread += length
-        if self.client.front.payloads.take(len(data)):
+        if self.client.front.payloads.acquire(len(data)):
             self.held_bytes += len(data)
             self.deframer.feed(data)
         else:
@@ -84,7 +84,7 @@
         self.notify()
 
     def release(self) -> None:
-        self.client.front.payloads.give_back(self.held_bytes)
+        self.client.front.payloads.release(self.held_bytes)
         self.held_bytes = 0
 
     async def send(self, data: bytes) -> None:
--- a/sorreldock/transport/budget.py
+++ b/sorreldock/transport/budget.py
@@ -69,7 +69,7 @@
         """Count one that came open from another process, whose count it has left."""
         self.used[use] += 1
 
-    def take(self, use: Use) -> bool:
+    def acquire(self, use: Use) -> bool:
         """Claim one; when all are in use, somebody's idle connection is closed for it if there is one."""
         if self.used[use] >= self.max_used[use] and not self._evict(use):
             return False
@@ -85,7 +85,7 @@
                 return True
         return False
 
-    def give_back(self, use: Use) -> None:
+    def release(self, use: Use) -> None:
         self.used[use] -= 1
         self._waiting.unpark_all()
 
@@ -104,11 +104,11 @@
         self.max_used = max_used
         self.used = 0
 
-    def take(self, count: int) -> bool:
+    def acquire(self, count: int) -> bool:
         if self.used + count > self.max_used:
             return False
         self.used += count
         return True
 
-    def give_back(self, count: int) -> None:
+    def release(self, count: int) -> None:
         self.used -= count
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -102,7 +102,7 @@
     ) -> None:
         """Accept one connection once there is a descriptor for it; pauses behind a failure."""
         # Guards the descriptor limit: with all in use, newcomers wait in the kernel's backlog.
-        while not self._budget.take(Use.CLIENT):
+        while not self._budget.acquire(Use.CLIENT):
             await self._budget.wait_released(0.05)
         if not await self._accept(nursery, handle):
             await trio.sleep(ACCEPT_PAUSE_S)
@@ -123,12 +123,12 @@
         try:
             sock, _ = await self._sock.accept()
         except OSError:  # the newcomer has gone again, or this machine is short of something
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
             return False
         except trio.Cancelled:
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
             raise
-        connection = Connection(sock, lambda: self._budget.give_back(Use.CLIENT), self._wait_readable)
+        connection = Connection(sock, lambda: self._budget.release(Use.CLIENT), self._wait_readable)
         nursery.start_soon(self._attend, handle, connection)
         return True
 
@@ -138,7 +138,7 @@
         """Serve a connection that another process has accepted, and the budget counts already."""
 
         def release() -> None:
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
 
         try:
             sock = self._inherited_socket(descriptor)
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -63,9 +63,9 @@
             if trio.current_time() - since < self._reusable_s and await line.usable():
                 return line
             line.connection.close()
-        if not self._budget.take(Use.ENGINE):
+        if not self._budget.acquire(Use.ENGINE):
             raise LocalShortage("no descriptor to spare")
-        on_close = lambda: self._budget.give_back(Use.ENGINE)  # noqa: E731
+        on_close = lambda: self._budget.release(Use.ENGINE)  # noqa: E731
         return self._wrap(await self._dial(self.address, self._connect_timeout_s, on_close))
 
     def _take_rested(self) -> tuple[float, L] | None:
@@ -76,7 +76,7 @@
                 return self._idle.pop(place)
         return None
 
-    def give_back(self, line: L, whole: bool) -> None:
+    def release(self, line: L, whole: bool) -> None:
         """Keep the connection if its last exchange went to its end, else close it."""
         if whole and line.renew():
             line.connection.release_buffers()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -204,16 +204,16 @@
 
 def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
     budget = DescriptorBudget(100)
-    held = sum(budget.take(Use.ENGINE) for _ in range(100))
+    held = sum(budget.acquire(Use.ENGINE) for _ in range(100))
     assert held == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
-        budget.give_back(Use.ENGINE)
+        budget.release(Use.ENGINE)
         return True
 
     robbed: list[int] = []
     budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
-    assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
+    assert all(budget.acquire(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
     assert robbed == [*range(1024), *range(1024)]
     budget.set_portion(20)  # another process of this router has the rest
     budget.close_excess_idle()
