--- a/sorreldock/program/start.py
+++ b/sorreldock/program/start.py
@@ -17,10 +17,10 @@
 
 def check_inherited(descriptor: int) -> None:
     """ConfigError unless a listening socket is open there. For the process that serves alone: it has it."""
-    from ..transport.system import listens  # the loop's library, only where a descriptor is inherited
+    from ..transport.system import is_listening  # the loop's library, only where a descriptor is inherited
 
     try:
-        if listens(descriptor):
+        if is_listening(descriptor):
             return
     except OSError as error:
         raise ConfigError(f"RELAY_INHERITED_FD {descriptor}: {error.strerror}") from None
--- a/sorreldock/transport/system.py
+++ b/sorreldock/transport/system.py
@@ -108,7 +108,7 @@
         await trio.to_thread.run_sync(_write, descriptor, data, abandon_on_cancel=True)
 
 
-def listens(descriptor: int) -> bool:
+def is_listening(descriptor: int) -> bool:
     """Whether an inherited descriptor is a listening socket; OSError when it is no socket of ours at all."""
     with socket.socket(fileno=os.dup(descriptor)) as held:
         return bool(held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
