--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -61,7 +61,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        return self.stage in (Stage.HALF, Stage.TAKEN)
+        return self.stage in (Stage.PARTIAL, Stage.TAKEN)
 
     def close_if_idle(self) -> bool:
         if self.hung_up:  # its last answer may be unread, and a close could turn it into a reset
@@ -82,7 +82,7 @@
 
     def reach(self, stage: Stage) -> None:
         self.stage, self.since = stage, trio.current_time()
-        self.front.queue.enter(self)
+        self.front.queue.add(self)
 
     # The core's side.
 
@@ -104,7 +104,7 @@
         self.finished.set()
 
     def left(self) -> bool:
-        return self.connection.ended()
+        return self.connection.has_peer_closed()
 
     # The wire's side.
 
@@ -122,12 +122,12 @@
         return [(b"connection", b"close")] if ends else []
 
     def release_body(self) -> None:
-        self.front.payloads.give_back(self.held_bytes)
+        self.front.payloads.release(self.held_bytes)
         self.held_bytes = 0
 
     def release_ahead(self) -> None:
         """What was sent ahead is parsed, or nobody's any longer."""
-        self.front.payloads.give_back(self.ahead_bytes)
+        self.front.payloads.release(self.ahead_bytes)
         self.ahead_bytes = 0
 
     async def run(self) -> None:
@@ -186,7 +186,7 @@
             self.hung_up = True
             with trio.CancelScope() as self.waiting:
                 self.reach(Stage.IDLE)
-                await self.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                await self.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
 
     def begun(self) -> bool:
         """Whether a part of the next request has been read."""
@@ -212,7 +212,7 @@
             self.waiting = None
             if not self.connection.unread and (self.front.passed_on or not await self.came_meanwhile()):
                 return None
-        self.reach(Stage.HALF)
+        self.reach(Stage.PARTIAL)
         if self.spoken:
             head_by = trio.current_time() + limits.HEAD_S
         self.spoken = True
@@ -242,7 +242,7 @@
                     raise Answered(503, "too much was sent ahead", (CLOSE,))
                 data = await self.connection.receive()
                 self.since = trio.current_time()
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
                 self.arrivals.add(len(data), self.since)
                 self.parser.receive_data(data)
             elif isinstance(event, h11.ConnectionClosed):
@@ -339,7 +339,7 @@
     def keep_ahead(self, data: bytes) -> None:
         """Keep what belongs to later requests for the parser, within the bounds on memory."""
         room = self.ahead_bytes + len(data) <= LARGEST_AHEAD
-        if self.dropping or not room or not self.front.payloads.take(len(data)):
+        if self.dropping or not room or not self.front.payloads.acquire(len(data)):
             self.dropping = True
             return
         self.ahead_bytes += len(data)
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -11,7 +11,7 @@
 import trio
 from hyperframe.frame import GoAwayFrame
 
-from ...kserve.framing import Farewell
+from ...kserve.framing import GoAway
 from ...transport.admission import Stage
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
@@ -77,7 +77,7 @@
             self.wire.consumed(stream.number, stream.unread)
         if not self.streams:
             self.idle_since = trio.current_time()
-            self.front.queue.enter(self)
+            self.front.queue.add(self)
         if (self.gone or (self.going and not self.front.accepting)) and not self.streams:
             self.ending.set()
 
@@ -101,7 +101,7 @@
                     with trio.move_on_after(1.0):
                         await self.wire.flushed()  # the farewell, if the client was at fault
                     if self.at_fault:
-                        await self.wire.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                        await self.wire.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
             pass  # the client has gone, or is none of ours
@@ -123,10 +123,10 @@
             for event in events:
                 self.take(event, nursery)
             if not self.streams:
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
             self.wire.hand_over()
 
-    def take(self, event: h2.events.Event | Farewell, nursery: trio.Nursery) -> None:
+    def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
         match event:
             case h2.events.RequestReceived():
                 assert event.stream_id is not None and event.headers is not None
@@ -139,7 +139,7 @@
                     return
                 headers = [(str(k), str(v)) for k, v in event.headers]
                 stream = self.streams[event.stream_id] = ClientStream(self, event.stream_id, headers)
-                self.front.queue.leave(self)
+                self.front.queue.remove(self)
                 nursery.start_soon(stream.run)
                 if not self.front.accepting:  # it came while the router was drained: this call and no more
                     self.go_away()
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -142,13 +142,13 @@
 
 @story
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admission, "LEAST_S", 0.0)
+    monkeypatch.setattr(admission, "MIN_STAGE_AGE_S", 0.0)
     async with among(Engine()) as router:
         usual = await router.connect()
         await usual.stream.send_all(raw())
         while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
             pass
-        router.program.budget.most[Use.CLIENT] = 8
+        router.program.budget.max_used[Use.CLIENT] = 8
         silent = [await router.connect() for _ in range(7)]
         while router.program.budget.used[Use.CLIENT] < 8:
             await trio.sleep(0.01)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -24,7 +24,7 @@
 from sorreldock.protocol.http import freshness
 from sorreldock.routing.subchannel import CallAttempt, Subchannel
 from sorreldock.transport.connection import Connection
-from sorreldock.transport.pool import Pool
+from sorreldock.transport.pool import ConnectionPool
 
 ONE = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: alt-text\r\n"
@@ -198,7 +198,7 @@
         for _ in range(3):
             await router.post()
         assert engine.connections == 1
-        monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
+        monkeypatch.setattr(ConnectionPool, "MAX_IDLE_SHARE", 0.0)
     engine = Engine()
     async with among(engine) as router:
         await router.post()
@@ -343,17 +343,17 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(ours), lambda: None)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.send(b"ahead")
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.close()
-    assert connection.ended() and await connection.receive() == b"ahead"
+    assert connection.has_peer_closed() and await connection.receive() == b"ahead"
 
 
 @story
 async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
     async with among(Engine()) as router:
-        router.program.payloads.most = 1000
+        router.program.payloads.max_used = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
         for _ in range(3):  # and what was served is no longer counted
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,44 +16,44 @@
 from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
-from sorreldock.kserve.framing import Farewell, Farewells
+from sorreldock.kserve.framing import GoAway, GoAwayFilter
 from sorreldock.program.serve import most_open, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
-from sorreldock.transport.budget import Descriptors, Use
-from sorreldock.transport.ring import Ring
+from sorreldock.transport.budget import DescriptorBudget, Use
+from sorreldock.transport.ring import RingBuffer
 from sorreldock.wire import decode_settings
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=40))))
 def test_a_ring_gives_back_what_was_put_in_order(steps: list[tuple[bool, bytes]]) -> None:
-    ring, expected = Ring(32), b""
+    ring, expected = RingBuffer(32), b""
     for take, data in steps:
         if take:
-            assert ring.take() == expected
+            assert ring.read_all() == expected
             expected = b""
         else:
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 32 - len(expected))
             expected += data[:done]
-            span = bytes(ring.held_span())[:3]
+            span = bytes(ring.readable_span())[:3]
             assert expected.startswith(span)
-            ring.shrank(len(span))
+            ring.consume(len(span))
             expected = expected[len(span) :]
-    assert ring.take() == expected
+    assert ring.read_all() == expected
 
 
 @given(st.lists(st.integers(1, 20)))
-def test_farewells_are_found_however_the_bytes_are_cut(cuts: list[int]) -> None:
+def test_goaway_frames_are_found_however_the_bytes_are_split(cuts: list[int]) -> None:
     plain = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
-    goodbye = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
-    data, strip = plain + goodbye + plain, Farewells(preface=False)
+    goaway_bytes = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
+    data, strip = plain + goaway_bytes + plain, GoAwayFilter(preface=False)
     rest, found = b"", []
     for cut in [*cuts, len(data)]:
-        got, farewells = strip.strip(data[:cut])
+        got, goaways = strip.strip(data[:cut])
         data = data[cut:]
-        rest, found = rest + got, found + farewells
-    assert (rest, found) == (plain * 2, [Farewell(5, 2)])
+        rest, found = rest + got, found + goaways
+    assert (rest, found) == (plain * 2, [GoAway(5, 2)])
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
 @story
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
     async with among(Engine()) as router:
-        router.program.budget.most[Use.CLIENT] = 3
+        router.program.budget.max_used[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
         for wire in idle:
@@ -203,30 +203,30 @@
 
 
 def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
-    budget = Descriptors(100)
-    held = sum(budget.take(Use.ENGINE) for _ in range(100))
+    budget = DescriptorBudget(100)
+    held = sum(budget.acquire(Use.ENGINE) for _ in range(100))
     assert held == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
-        budget.give_back(Use.ENGINE)
+        budget.release(Use.ENGINE)
         return True
 
     robbed: list[int] = []
-    budget.evictors[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
-    assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
+    budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
+    assert all(budget.acquire(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
     assert robbed == [*range(1024), *range(1024)]
-    budget.share(20)  # another process of this router has the rest
-    budget.let_go()
+    budget.set_portion(20)  # another process of this router has the rest
+    budget.close_excess_idle()
     assert budget.used[Use.ENGINE] == 10
-    budget.share(None)
-    assert budget.most[Use.ENGINE] == 42
+    budget.set_portion(None)
+    assert budget.max_used[Use.ENGINE] == 42
 
 
 def test_the_budgets_follow_the_limits() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
     assert [most_open(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
-        most = Descriptors(limit).most
+        most = DescriptorBudget(limit).max_used
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
