--- a/tests/peers.py
+++ b/tests/peers.py
@@ -54,7 +54,7 @@
 EVENTS = [b'data: {"n":1}\n\n', b'data: {"n":2}\n\n', b"data: [DONE]\n\n"]
 
 
-def story(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
+def trio_test(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
     """A test that runs in trio, and fails rather than hangs."""
 
     @functools.wraps(test)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, Engine, Router, Wire, among, answer, serve_until, story, streaming
+from peers import EVENTS, Engine, Router, Wire, among, answer, serve_until, streaming, trio_test
 from test_bad_days import raw
 
 from sorreldock.transport import admission
@@ -88,7 +88,7 @@
     return wire
 
 
-@story
+@trio_test
 async def test_half_sent_and_idle_connections_make_room_and_taken_requests_never() -> None:
     finish, engine = trio.Event(), Engine()
     async with among(engine) as router:
@@ -123,7 +123,7 @@
             assert event.data in EVENTS
 
 
-@story
+@trio_test
 async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     async with among(Engine()) as router:
         payloads = router.program.payloads
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
+from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
@@ -19,7 +19,7 @@
 from sorreldock.transport.connection import Connection
 
 
-@story
+@trio_test
 async def test_a_second_answer_that_comes_late_is_not_the_next_requests() -> None:
     spoil, engine = trio.Event(), Engine()
 
@@ -46,7 +46,7 @@
     assert time_to_finish_writing(0.25) == time_to_finish_writing(5.0) == pytest.approx(0.08)
 
 
-@story
+@trio_test
 async def test_an_attempt_is_not_written_after_its_time() -> None:
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
@@ -55,7 +55,7 @@
         assert attempt.may_send() is may
 
 
-@story
+@trio_test
 async def test_no_repeat_of_a_keyed_request_is_written_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -93,7 +93,7 @@
     assert len(first.calls) + len(second.calls) == 1
 
 
-@story
+@trio_test
 async def test_a_refused_connection_tells_that_no_process_listens() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -9,7 +9,7 @@
 import trio
 from grpc_peers import BOTH, SharedEngine, Stream, framed, grpc_client, piece
 from grpc_peers import request as grpc_request
-from peers import EVENTS, FIELDS, Call, Engine, among, request, story
+from peers import EVENTS, FIELDS, Call, Engine, among, request, trio_test
 from test_parts import Recorder
 
 from sorreldock.interface import AttemptEnded, Status
@@ -64,7 +64,7 @@
         b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 10_000,
     ],
 )
-@story
+@trio_test
 async def test_what_can_be_read_in_two_ways_or_none_is_answered_and_nothing_passes_on(sent: bytes) -> None:
     engine = Engine()
     async with among(engine) as router:
@@ -78,7 +78,7 @@
         await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_an_error_is_read_though_megabytes_are_still_coming() -> None:
     async with among(Engine()) as router:
         for head in (raw(body=b"", length=b"8000000"), raw(b"transfer-encoding: chunked", body=b"")):
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     "begun", [b"", b"POST /v1/chat", raw(length=b"90"), raw(x_trace_id=None, length=b"90")]
 )
-@story
+@trio_test
 async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
@@ -106,7 +106,7 @@
         assert said.startswith(b"HTTP/1.1 40" if begun else b"")
 
 
-@story
+@trio_test
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "STALL_S", 0.3)
     engine = Engine()
@@ -120,7 +120,7 @@
         assert (await wire.next()).status_code == 200 and engine.calls[0].body == b"x" * 8
 
 
-@story
+@trio_test
 async def test_the_id_of_an_open_request_is_refused_and_the_first_is_unharmed() -> None:
     go_on = trio.Event()
 
@@ -140,7 +140,7 @@
         assert (await router.post()).whole  # a name is free again once its request is over
 
 
-@story
+@trio_test
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission, "LEAST_S", 0.0)
     async with among(Engine()) as router:
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("script", SPOILT)
-@story
+@trio_test
 async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("script", [endless_chunk, wrong_size, no_size, noise_for_events])
-@story
+@trio_test
 async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -246,7 +246,7 @@
     assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
 
 
-@story
+@trio_test
 async def test_what_comes_behind_or_before_an_answer_harms_nothing() -> None:
     async def more_than_asked(call: Call) -> None:
         body = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS) + b"0\r\n\r\n"
@@ -264,7 +264,7 @@
         assert engine.connections == 3
 
 
-@story
+@trio_test
 async def test_a_request_at_fault_is_told_so_and_its_engine_stays_in_use() -> None:
     async def bad_request(call: Call) -> None:
         await call.answer(400, b"no messages")
@@ -292,7 +292,7 @@
 # The same over gRPC.
 
 
-@story
+@trio_test
 async def test_a_grpc_client_that_stops_halfway_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
@@ -307,7 +307,7 @@
             assert await stream.answer() == (Code.DEADLINE_EXCEEDED, [])
 
 
-@story
+@trio_test
 async def test_a_grpc_id_that_is_open_and_metadata_given_twice_are_errors() -> None:
     go_on = trio.Event()
 
@@ -334,7 +334,7 @@
     assert len(engine.grpc_calls) == 2
 
 
-@story
+@trio_test
 async def test_a_grpc_message_that_never_ends_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 import trio.testing
-from peers import Call, Discovery, Engine, Router, Wire, among, story
+from peers import Call, Discovery, Engine, Router, Wire, among, trio_test
 from test_bad_days import raw
 
 from sorreldock.interface import (
@@ -60,7 +60,7 @@
     return wires
 
 
-@story
+@trio_test
 async def test_requests_beyond_what_can_be_decided_are_refused_at_once_and_all_are_answered_in_time() -> None:
     engine = Engine()
     took: list[float] = []
@@ -84,7 +84,7 @@
     assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in told)
 
 
-@story
+@trio_test
 async def test_a_drain_notice_and_a_client_that_leaves_are_heard_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -110,7 +110,7 @@
     assert last not in {event.request for event in told if isinstance(event, RequestArrived)}
 
 
-@story
+@trio_test
 async def test_an_attempt_decided_in_the_batch_in_which_its_client_left_counts_as_ended() -> None:
     release = trio.Event()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 import trio.testing
-from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, among, serve_until, story
+from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, among, serve_until, trio_test
 from test_bad_days import raw
 
 from sorreldock.interface import Status
@@ -48,7 +48,7 @@
     await call.start(EVENTS[0])
 
 
-@story
+@trio_test
 async def test_an_answer_passes_on_unchanged_and_the_request_too() -> None:
     engine = Engine()
     async with among(engine) as router:
@@ -64,7 +64,7 @@
     assert 1e6 < int(call.headers["x-expires-in"].removesuffix("u")) < 2e6
 
 
-@story
+@trio_test
 async def test_fields_that_the_router_does_not_know_pass_on_and_those_of_one_connection_do_not() -> None:
     engine = Engine()
     async with among(engine) as router:
@@ -88,7 +88,7 @@
     assert names.count(b"host") == names.count(b"content-length") == names.count(b"x-trace-id") == 1
 
 
-@story
+@trio_test
 async def test_events_pass_on_as_they_come() -> None:
     more = trio.Event()
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("script, never_ran", [(refuse, True), (fail, False), (begin_and_reset, False)])
-@story
+@trio_test
 async def test_an_attempt_that_ends_badly(script: object, never_ran: bool) -> None:
     first, second = Engine(), Engine()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
@@ -121,7 +121,7 @@
         assert max(first.most_out, second.most_out) == 1
 
 
-@story
+@trio_test
 async def test_an_rpc_that_the_module_gives_up_is_answered_at_once() -> None:
     async with among(Engine(refuse)) as router:
         began = trio.current_time()
@@ -130,7 +130,7 @@
         assert 0.0 < float(got.headers["retry-after"]) <= 2.0
 
 
-@story
+@trio_test
 async def test_the_deadline_runs_until_the_first_event_and_no_longer() -> None:
     async def late(call: Call) -> None:
         await call.start(EVENTS[0])
@@ -146,7 +146,7 @@
         assert got.status in (503, 504) and trio.current_time() - began < 0.3
 
 
-@story
+@trio_test
 async def test_a_client_that_leaves_gives_up_its_attempt() -> None:
     left = trio.Event()
 
@@ -162,7 +162,7 @@
         await left.wait()
 
 
-@story
+@trio_test
 async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
 
@@ -175,7 +175,7 @@
     assert (got.body, got.whole) == (EVENTS[0], False)
 
 
-@story
+@trio_test
 async def test_a_client_keeps_its_connection_from_one_request_to_the_next() -> None:
     async with among(Engine()) as router:
         wire = await router.connect()
@@ -188,7 +188,7 @@
                 data += more
 
 
-@story
+@trio_test
 async def test_connections_are_reused_but_not_near_the_engines_idle_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -206,7 +206,7 @@
     assert engine.connections == 2
 
 
-@story
+@trio_test
 async def test_nothing_new_goes_to_an_engine_that_drains() -> None:
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
@@ -222,7 +222,7 @@
     assert (len(first.calls), len(second.calls)) == (0, 8)
 
 
-@story
+@trio_test
 async def test_an_attempt_that_still_dials_is_not_sent_to_an_engine_that_drains() -> None:
     with socket.socket() as stuck, socket.socket() as first, socket.socket() as second:
         stuck.bind(("127.0.0.1", 0))
@@ -249,7 +249,7 @@
     assert len(good.calls) == 1
 
 
-@story
+@trio_test
 async def test_an_attempt_whose_dial_ends_after_the_drain_is_not_sent_either() -> None:
     subchannel = SimpleNamespace(ready=True)
     there = [True]
@@ -261,7 +261,7 @@
     assert not attempt.may_send()
 
 
-@story
+@trio_test
 async def test_an_answer_that_begins_as_its_deadline_fires_is_not_begun() -> None:
     """A busy program reads both in the same pass: the stream would be cut off by the deadline it outlived."""
     got: list[Any] = []
@@ -279,7 +279,7 @@
     assert got[0][1].status is Status.TIMEOUT and not attempt.started
 
 
-@story
+@trio_test
 async def test_a_client_that_left_behind_all_that_it_sent_ahead_gets_no_further_attempt() -> None:
     held, taken = trio.Event(), trio.Event()
 
@@ -299,7 +299,7 @@
     assert len(engine.calls) == 1 and router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_commands_sent_at_once_are_answered_in_turn_and_their_clocks_run_meanwhile() -> None:
     first, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(first))
@@ -316,7 +316,7 @@
     assert told[0] > 0.8 and all(wait < 0.65 for wait in told[1:]) and router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_what_was_sent_ahead_is_answered_by_a_router_that_was_told_to_stop() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
@@ -338,7 +338,7 @@
     assert [call.headers["x-trace-id"] for call in engine.calls] == ["taken", "ahead"]
 
 
-@story
+@trio_test
 async def test_an_end_is_seen_without_waiting() -> None:
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
@@ -350,7 +350,7 @@
     assert connection.ended() and await connection.receive() == b"ahead"
 
 
-@story
+@trio_test
 async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
     async with among(Engine()) as router:
         router.program.payloads.most = 1000
@@ -361,7 +361,7 @@
         assert router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_a_body_is_let_go_once_its_answer_streams() -> None:
     finish, engine = trio.Event(), Engine()
     engine.script = serve_until(finish)
@@ -387,7 +387,7 @@
             await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_a_watch_that_is_refused_ends_or_stalls_is_asked_for_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -400,7 +400,7 @@
             await trio.sleep(0.01)
 
 
-@story
+@trio_test
 async def test_a_list_of_nonsense_ends_the_watch_and_not_the_program() -> None:
     engine = Engine()
     discovery = Discovery(engine)
@@ -419,7 +419,7 @@
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 @pytest.mark.parametrize("how", ["ask", "push"])
 async def test_an_indented_list_of_1024_engines_is_taken_over_whole_by_one_of_1024_routers(how: str) -> None:
     engine = Engine()
@@ -445,7 +445,7 @@
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 async def test_what_is_wrong_with_a_request_is_said() -> None:
     async with among(Engine()) as router:
         assert (await router.ask("GET", "/up")).status == 200
@@ -469,7 +469,7 @@
         assert b" 400 " in await wire.stream.receive_some(100)
 
 
-@story
+@trio_test
 async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.05)
     async with among(Engine()) as router:
@@ -484,7 +484,7 @@
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 async def test_a_slow_reader_slows_its_engine_and_loses_nothing() -> None:
     sent = 0
     chunk = b"data: " + b"x" * 60000 + b"\n\n"
@@ -508,7 +508,7 @@
         assert got == chunk * 400
 
 
-@story
+@trio_test
 async def test_sigterm_answers_all_that_was_taken_and_ends() -> None:
     finish = trio.Event()
     slowly = serve_until(finish)
@@ -533,7 +533,7 @@
             assert type(event).__name__ == "EndOfMessage" and body == b"".join(EVENTS)
 
 
-@story
+@trio_test
 async def test_pipelined_requests_get_their_answers_in_order() -> None:
     engine = Engine()
     async with among(engine) as router:
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -10,7 +10,7 @@
 import trio.testing
 from grpc_peers import BOTH, METADATA, SharedEngine, Stream, grpc_client, piece, request, serve_well
 from hyperframe.frame import GoAwayFrame
-from peers import among, story
+from peers import among, trio_test
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
@@ -45,7 +45,7 @@
     await call.until(lambda: call.end.closed)
 
 
-@story
+@trio_test
 async def test_both_protocols_share_engines_and_each_rpc_gets_one_final_answer() -> None:
     engines = [SharedEngine() for _ in range(3)]
     for engine in engines:
@@ -77,7 +77,7 @@
     assert set(names.values()) == {1}
 
 
-@story
+@trio_test
 async def test_a_request_goes_on_untranslated() -> None:
     async def with_metadata(call: Stream) -> None:
         await call.start()
@@ -96,7 +96,7 @@
     assert 1e6 < int(call.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
 
 
-@story
+@trio_test
 async def test_a_stream_carries_one_request_after_the_other() -> None:
     async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
@@ -113,7 +113,7 @@
         (begin_and_close, Code.INTERNAL, 1),
     ],
 )
-@story
+@trio_test
 async def test_how_an_engines_failure_is_told(script: object, code: Code, count: int) -> None:
     engine = SharedEngine(script)  # type: ignore[arg-type]
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
@@ -124,7 +124,7 @@
         assert len(engine.grpc_calls) == 1
 
 
-@story
+@trio_test
 async def test_a_class_that_must_not_run_twice_fails_with_internal() -> None:
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
     engines = SharedEngine(fail), SharedEngine(fail)
@@ -136,7 +136,7 @@
     assert sum(len(e.grpc_calls) for e in engines) == 1
 
 
-@story
+@trio_test
 async def test_what_is_wrong_with_a_call_is_said() -> None:
     async def unknown_tensor(call: Stream) -> None:
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
@@ -164,7 +164,7 @@
         assert stream.headers["grpc-message"] == "no such tensor" and len(engine.grpc_calls) == 1
 
 
-@story
+@trio_test
 async def test_the_deadline_runs_until_the_first_message_and_no_longer() -> None:
     async def late(call: Stream) -> None:
         await call.start()
@@ -182,7 +182,7 @@
         assert (await client.call("ModelStreamInfer", request(), grpc_timeout="250m"))[0] == 0
 
 
-@story
+@trio_test
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
@@ -198,7 +198,7 @@
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
 
 
-@story
+@trio_test
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
@@ -208,7 +208,7 @@
         await engine.grpc_calls[0].until(lambda: engine.grpc_calls[0].end.closed)
 
 
-@story
+@trio_test
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
     async with (
@@ -218,7 +218,7 @@
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
 
 
-@story
+@trio_test
 async def test_a_slow_reader_slows_its_engine_alone() -> None:
     sent = 0
     big = pb.ModelStreamInferResponse(error_message="x" * 50_000).SerializeToString()
@@ -240,7 +240,7 @@
             assert (await other.call("ModelInfer", request()))[0] == 0
 
 
-@story
+@trio_test
 async def test_engine_connections_are_kept_and_a_farewell_is_heeded() -> None:
     engine = SharedEngine()
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
@@ -254,7 +254,7 @@
         assert engine.connections == 2
 
 
-@story
+@trio_test
 async def test_an_engine_that_says_goaway_in_mid_stream_finishes_it() -> None:
     async def farewell(call: Stream) -> None:
         await call.start()
@@ -273,7 +273,7 @@
     assert engine.connections == 2
 
 
-@story
+@trio_test
 async def test_a_refused_stream_never_ran_and_is_tried_elsewhere() -> None:
     async def refuse(call: Stream) -> None:
         call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
@@ -288,7 +288,7 @@
     assert sum(len(e.grpc_calls) for e in engines) == 3
 
 
-@story
+@trio_test
 async def test_a_client_that_answers_no_ping_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH.__class__(
@@ -304,7 +304,7 @@
             pass  # it closes: we answer nothing
 
 
-@story
+@trio_test
 async def test_a_stream_cancelled_while_it_waits_to_write_garbles_nothing() -> None:
     ours, theirs = trio.socket.socketpair()
     wire = ServerWire(Connection(ours, lambda: None), 1)
@@ -327,7 +327,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_goaway_and_the_end_of_open_streams_at_sigterm() -> None:
     finish = trio.Event()
 
@@ -348,7 +348,7 @@
         assert await stream.answer() == (0, [piece(1)])
 
 
-@story
+@trio_test
 async def test_the_stock_client_is_served() -> None:
     def talk(address: str) -> None:
         service = "/inference.GRPCInferenceService/"
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -7,7 +7,7 @@
 import h11
 import pytest
 import trio
-from peers import EVENTS, FIELDS, Engine, Router, among, answer, request, story, streaming
+from peers import EVENTS, FIELDS, Engine, Router, among, answer, request, streaming, trio_test
 
 from sorreldock.program import console
 from sorreldock.program.phases import Phase
@@ -31,7 +31,7 @@
     return await heard(await caller(router, f"{word}\n".encode()))
 
 
-@story
+@trio_test
 async def test_a_drained_router_answers_what_comes_empties_and_serves_again() -> None:
     finish, engine = trio.Event(), Engine()
     async with among(engine, console="127.0.0.1:0") as router:
@@ -68,7 +68,7 @@
             wire.parser.start_next_cycle()
 
 
-@story
+@trio_test
 async def test_a_call_back_within_the_lag_closes_nothing_and_sigterm_ends_a_drained_router() -> None:
     async with among(Engine(), console="127.0.0.1:0") as router:
         program = router.program
@@ -85,7 +85,7 @@
         assert (await router.ask("GET", "/up")).status == 503
 
 
-@story
+@trio_test
 async def test_each_call_gets_a_line_and_silent_ones_cost_none(monkeypatch: pytest.MonkeyPatch) -> None:
     async with among(Engine(), console="127.0.0.1:0") as router:
         for sent in (b"drain now\n", b"\xff\n", b"\n"):
@@ -108,7 +108,7 @@
         assert await heard(ended) == "fail a line without an end\n"
 
 
-@story
+@trio_test
 async def test_a_crowd_of_clients_cannot_shut_the_operators_out() -> None:
     async with among(Engine(), console="127.0.0.1:0", sockets=100) as router:
         budget: Any = router.program.budget
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
+from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, trio_test
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
 from sorreldock.kserve.framing import Farewell, Farewells
@@ -87,7 +87,7 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-@story
+@trio_test
 async def test_the_end_of_a_stream_tells_the_module_load_and_kept_tokens() -> None:
     async def report(call: Call) -> None:
         await call.start(EVENTS[0])
@@ -108,7 +108,7 @@
     assert ended.report == (1.5, 4.0)
 
 
-@story
+@trio_test
 async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
     async with among(Engine()) as router:
         Recorder(router.program.core._gateway, lambda events: [])
@@ -120,7 +120,7 @@
         assert not router.program.core.open
 
 
-@story
+@trio_test
 async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
     async def hang(call: Call) -> None:
         await call.left()
@@ -139,7 +139,7 @@
     assert sum(len(engine.calls) for engine in engines) == 1
 
 
-@story
+@trio_test
 async def test_probes_bring_load_and_a_stranger_is_not_probed() -> None:
     async def load(call: Call) -> None:
         assert call.head.target == b"/metrics/load"
@@ -160,7 +160,7 @@
     assert list(ended.values()) == [(Status.OK, (0.5, 2.0))]
 
 
-@story
+@trio_test
 async def test_an_engine_that_talks_nonsense_ends_its_attempt_only() -> None:
     async def nonsense(call: Call) -> None:
         await call.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
@@ -171,7 +171,7 @@
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
-@story
+@trio_test
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
     async with among(Engine()) as router:
         router.program.budget.most[Use.CLIENT] = 3
@@ -181,7 +181,7 @@
             await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_many_routers_keep_few_idle_connections_each_at_an_engine() -> None:
     """An engine holds only so many connections, and all routers' idle ones count."""
     out, all_out = [], trio.Event()
@@ -230,7 +230,7 @@
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
-@story
+@trio_test
 async def test_a_connection_at_rest_holds_no_buffers() -> None:
     async with among(Engine()) as router:
         wire = await router.start_post()
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import Call, Engine, among, story
+from peers import Call, Engine, among, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.interface import Status
@@ -73,7 +73,7 @@
     assert all(record[:2] == ("err", "VIOLATION") for record in records)
 
 
-@story
+@trio_test
 async def test_a_fault_in_the_front_is_answered_and_a_close_with_an_answer_owed_is_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -91,7 +91,7 @@
         assert set(router.program.core.audit.broken) <= {Rule.CLOSED_OWING}
 
 
-@story
+@trio_test
 async def test_neither_a_broken_stream_nor_a_client_that_left_counts_as_a_close_of_ours() -> None:
     async def break_off(call: Call) -> None:
         await call.start(b"data: 1\n\n")
@@ -132,7 +132,7 @@
         return super().socket(family)
 
 
-@story
+@trio_test
 async def test_a_dial_is_tried_again_while_this_machine_is_short_and_blames_no_server() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -163,7 +163,7 @@
         raise OSError(errno.ENOBUFS, "no buffer space")
 
 
-@story
+@trio_test
 async def test_a_look_at_the_client_that_fails_is_no_end_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         theirs = socket.create_connection(listener.getsockname())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Discovery, Engine, among, story
+from peers import EVENTS, SETTINGS, Call, Discovery, Engine, among, trio_test
 
 from sorreldock.program import syslog
 from sorreldock.program.config import ConfigError, Operator, load, operator_from
@@ -133,7 +133,7 @@
     )
 
 
-@story
+@trio_test
 async def test_a_collector_gets_counted_octets_and_a_slow_one_costs_records_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -165,7 +165,7 @@
     assert len(records) == 5 and b'[sorreldock@32473 count="7"]' in records[3]
 
 
-@story
+@trio_test
 async def test_the_program_starts_on_a_tree_it_cannot_write_and_ends_at_sigterm(tmp_path: Path) -> None:
     engine = Engine()
     discovery = Discovery(engine)
@@ -203,7 +203,7 @@
     return said
 
 
-@story
+@trio_test
 async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     engine = Engine()
     first, second = Discovery(engine), Discovery(engine)
@@ -236,7 +236,7 @@
         assert await process.wait() == 0
 
 
-@story
+@trio_test
 async def test_sighup_before_the_program_listens_for_it_is_heard_later(tmp_path: Path) -> None:
     code = (
         "import os, signal, runpy, sys\n"
@@ -263,7 +263,7 @@
     assert await process.wait() == 0
 
 
-@story
+@trio_test
 async def test_open_rpcs_and_subchannels_outlive_a_move_of_the_watch() -> None:
     more = trio.Event()
 
@@ -287,7 +287,7 @@
         assert router.program.core.subchannels == before
 
 
-@story
+@trio_test
 async def test_a_fault_in_the_module_fails_its_rpcs_and_spares_the_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -11,7 +11,7 @@
 import trio.testing
 from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
 from grpc_peers import request as grpc_request
-from peers import Call, Discovery, Engine, among, serve_until, story
+from peers import Call, Discovery, Engine, among, serve_until, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.kserve.framing import Code
@@ -32,7 +32,7 @@
         await trio.testing.wait_all_tasks_blocked()
 
 
-@story
+@trio_test
 async def test_a_client_that_leaves_behind_more_than_is_kept_ahead_is_seen() -> None:
     taken, left = trio.Event(), trio.Event()
 
@@ -52,7 +52,7 @@
     assert len(engine.calls) == 1 and router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_an_end_behind_more_than_the_ring_holds_is_seen_without_reading() -> None:
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
@@ -68,7 +68,7 @@
     connection.close()
 
 
-@story
+@trio_test
 async def test_of_too_many_requests_ahead_the_kept_ones_are_served_and_the_next_is_refused() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
@@ -87,7 +87,7 @@
     assert router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_the_clock_of_a_request_sent_ahead_runs_from_its_own_bytes() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
@@ -112,7 +112,7 @@
     assert [arrivals.of_last_parsed(left) for left in (32, 27, 26, 7, 6, 0)] == [2.0, 2.0, 3.0, 3.0, 4.0, 4.0]
 
 
-@story
+@trio_test
 async def test_connections_in_the_backlog_are_served_when_the_listener_closes() -> None:
     budget = Descriptors(1024)
     listener = Listener("127.0.0.1:0", budget)
@@ -159,7 +159,7 @@
         return await self.sock.accept()
 
 
-@story
+@trio_test
 async def test_the_backlog_is_served_though_accepts_fail_for_a_moment_as_the_listener_closes() -> None:
     budget = Descriptors(1024)
     listener = Listener("127.0.0.1:0", budget)
@@ -183,7 +183,7 @@
     assert short.failures == 0 and budget.used[Use.CLIENT] == 0
 
 
-@story
+@trio_test
 async def test_a_newcomer_is_served_once_there_are_descriptors_again() -> None:
     budget = Descriptors(1024)
     listener = Listener("127.0.0.1:0", budget)
@@ -204,7 +204,7 @@
     assert budget.used[Use.CLIENT] == 0
 
 
-@story
+@trio_test
 async def test_a_request_half_read_at_the_end_of_the_drain_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -226,7 +226,7 @@
     assert len(engine.calls) == 1
 
 
-@story
+@trio_test
 async def test_nobody_can_connect_before_the_program_serves() -> None:
     listener = Listener("127.0.0.1:0", Descriptors(1024))
     host, port = (await listener.bind()).rsplit(":", 1)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-@story
+@trio_test
 async def test_what_is_whole_too_late_before_a_kill_is_refused_at_once(
     late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -262,7 +262,7 @@
     assert len(engine.calls) == (not late)
 
 
-@story
+@trio_test
 async def test_a_grpc_call_that_comes_too_late_before_a_kill_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -273,7 +273,7 @@
     assert not engine.grpc_calls
 
 
-@story
+@trio_test
 async def test_a_drain_does_not_reset_an_answer_behind_which_bytes_still_come() -> None:
     async with among(Engine()) as router:
         wire = await router.connect()
@@ -290,7 +290,7 @@
         await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_a_grpc_cancel_is_heard_though_the_client_reads_nothing() -> None:
     taken, left = trio.Event(), trio.Event()
 
@@ -325,7 +325,7 @@
             await router.program.fronts["kserve"].drain()
 
 
-@story
+@trio_test
 async def test_a_grpc_client_that_closed_is_seen_before_its_connection_is_read() -> None:
     taken = trio.Event()
 
@@ -344,7 +344,7 @@
         assert stream.left() and connection.streams  # nothing has run since: its reader has not heard
 
 
-@story
+@trio_test
 async def test_an_older_change_does_not_bring_back_a_server_that_drains() -> None:
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,7 @@
 import h11
 import pytest
 import trio
-from peers import FIELDS, Discovery, Engine, Wire, answer, request, serve_until, story
+from peers import FIELDS, Discovery, Engine, Wire, answer, request, serve_until, trio_test
 from test_program import ROOT, until, written
 
 from sorreldock.interface import ListKind, ReplicaState
@@ -89,7 +89,7 @@
     assert (await answer(wire)).whole
 
 
-@story
+@trio_test
 async def test_no_connection_is_refused_reset_or_left_unread_when_one_process_follows_another(
     tmp_path: Path,
 ) -> None:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("kind", ["stale file", "stuck", "another version", "noise"])
-@story
+@trio_test
 async def test_a_predecessor_that_is_no_use_leaves_the_new_process_working_alone(
     tmp_path: Path, kind: str
 ) -> None:
@@ -219,7 +219,7 @@
         self.counts = counts
 
 
-@story
+@trio_test
 async def test_each_notice_reaches_every_other_process_and_what_is_out_counts() -> None:
     """One that follows may have a predecessor that still ends and a successor that has just begun."""
     cores = [Told() for _ in range(3)]
