--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 from grpc_peers import BOTH, SharedEngine
-from peers import Peer, among
+from peers import Peer, running_router
 
 from sorreldock.client import Request
 
@@ -97,7 +97,7 @@
 
 def router(engine: SharedEngine, **options: Any) -> AbstractAsyncContextManager[Any]:
     """The real program before this engine, on both protocols."""
-    return among(engine, operator=BOTH, **options)
+    return running_router(engine, operator=BOTH, **options)
 
 
 class Stub(Peer):
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -357,7 +357,7 @@
 
 
 @asynccontextmanager
-async def among(
+async def running_router(
     *engines: Peer,
     discovery: Discovery | None = None,
     operator: Operator | None = None,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, Engine, Router, Wire, among, answer, serve_until, streaming, trio_test
+from peers import EVENTS, Engine, Router, Wire, answer, running_router, serve_until, streaming, trio_test
 from test_bad_days import raw
 
 from sorreldock.transport import admission
@@ -91,7 +91,7 @@
 @trio_test
 async def test_half_sent_and_idle_connections_make_room_and_taken_requests_never() -> None:
     finish, engine = trio.Event(), Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         budget = router.program.budget
         taken = await streaming(router, engine, finish)
         budget.most[Use.CLIENT] = 12
@@ -125,7 +125,7 @@
 
 @trio_test
 async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         payloads = router.program.payloads
         payloads.most = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, trio_test
+from peers import EVENTS, SETTINGS, Call, Engine, running_router, serve_well, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
@@ -31,7 +31,7 @@
         )
 
     engine.scripts.append(twice)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         assert (await router.post(x_trace_id="t0")).whole
         got = await router.post(x_trace_id="t1")  # at once: the first connection has not rested
         assert got.body == b"".join(EVENTS) and engine.connections == 2
@@ -85,7 +85,7 @@
 
     first, second = Engine(fail), Engine(fail)
     discovery_address = ""
-    async with among(first, second, categories=categories) as router:
+    async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
         dialled.clear()
         got = await router.post()
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -9,7 +9,7 @@
 import trio
 from grpc_peers import BOTH, SharedEngine, Stream, framed, grpc_client, piece
 from grpc_peers import request as grpc_request
-from peers import EVENTS, FIELDS, Call, Engine, among, request, trio_test
+from peers import EVENTS, FIELDS, Call, Engine, request, running_router, trio_test
 from test_parts import Recorder
 
 from sorreldock.interface import AttemptEnded, Status
@@ -67,7 +67,7 @@
 @trio_test
 async def test_what_can_be_read_in_two_ways_or_none_is_answered_and_nothing_passes_on(sent: bytes) -> None:
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(sent + raw(x_trace_id=b"behind"))
         began = trio.current_time()
@@ -80,7 +80,7 @@
 
 @trio_test
 async def test_an_error_is_read_though_megabytes_are_still_coming() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         for head in (raw(body=b"", length=b"8000000"), raw(b"transfer-encoding: chunked", body=b"")):
             wire = await router.connect()
             if b"chunked" in head:
@@ -97,7 +97,7 @@
 async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         wire = await router.connect()
         if begun:
             await wire.stream.send_all(begun)
@@ -110,7 +110,7 @@
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "STALL_S", 0.3)
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-8])
@@ -131,7 +131,7 @@
         await call.end()
 
     engine = Engine(slowly)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         first = await router.start_post()
         await first.next()
         assert (await router.post()).status == 409
@@ -143,7 +143,7 @@
 @trio_test
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission, "LEAST_S", 0.0)
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         usual = await router.connect()
         await usual.stream.send_all(raw())
         while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
@@ -206,7 +206,7 @@
     engines = [Engine(), Engine()]
     for engine in engines:
         engine.scripts = [script]
-    async with among(*engines) as router:
+    async with running_router(*engines) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both are spoilt: tried twice, and no more
         assert [e.status for e in seen.of(AttemptEnded)] == [Status.RESET] * 2
@@ -241,7 +241,7 @@
             for event in events[1:]:
                 await self.stream.send_all(b"%x\r\n%b\r\n" % (len(event.data), event.data))
 
-    async with among(Engine(well_begun)) as router:
+    async with running_router(Engine(well_begun)) as router:
         got = await router.post()
     assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
 
@@ -257,7 +257,7 @@
         await call.left()
 
     engine = Engine(more_than_asked)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         for _ in range(3):
             got = await router.post()
             assert (got.body, got.whole) == (b"".join(EVENTS), True)
@@ -271,7 +271,7 @@
 
     engine = Engine()
     engine.scripts = [bad_request]
-    async with among(engine, Engine()) as router:
+    async with running_router(engine, Engine()) as router:
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
@@ -296,7 +296,7 @@
 async def test_a_grpc_client_that_stops_halfway_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
         await all_of(silent)  # our greeting, and the end
@@ -318,7 +318,7 @@
         await call.finish(0)
 
     engine = SharedEngine(slowly)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         first = await client.start("ModelStreamInfer", grpc_request(), sorreldock_request_id="a")
         await first.messages(1)
         for fields, code in (
@@ -347,6 +347,6 @@
     engines = [SharedEngine(), SharedEngine()]
     for engine in engines:
         engine.grpc_scripts = [cut]
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(*engines, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", grpc_request()))[0] == 0
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 import trio.testing
-from peers import Call, Discovery, Engine, Router, Wire, among, trio_test
+from peers import Call, Discovery, Engine, Router, Wire, running_router, trio_test
 from test_bad_days import raw
 
 from sorreldock.interface import (
@@ -65,7 +65,7 @@
     engine = Engine()
     took: list[float] = []
     statuses: list[int] = []
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         told = slow_decisions(router.program.core)
 
         wires = await burst(router, 60, b"1000m")
@@ -91,7 +91,7 @@
     monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, time_s: False)
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         core = router.program.core
         told = slow_decisions(core)
@@ -119,7 +119,7 @@
         await call.answer(500)
 
     first, second = Engine(fail), Engine(fail)
-    async with among(first, second) as router:
+    async with running_router(first, second) as router:
         core = router.program.core
         wire = await router.start_post()
         while not any(subchannel.out for subchannel in core.subchannels.values()):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 import trio.testing
-from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, among, serve_until, trio_test
+from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, running_router, serve_until, trio_test
 from test_bad_days import raw
 
 from sorreldock.interface import Status
@@ -51,7 +51,7 @@
 @trio_test
 async def test_an_answer_passes_on_unchanged_and_the_request_too() -> None:
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         got = await router.post(b'{"model":"chat"}')
     assert (got.status, got.body, got.whole) == (200, b"".join(EVENTS), True)
     [call] = engine.calls
@@ -67,7 +67,7 @@
 @trio_test
 async def test_fields_that_the_router_does_not_know_pass_on_and_those_of_one_connection_do_not() -> None:
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(
             raw(
@@ -98,7 +98,7 @@
         await call.more(EVENTS[1])
         await call.end()
 
-    async with among(Engine(slowly)) as router:
+    async with running_router(Engine(slowly)) as router:
         wire = await router.start_post()
         assert (await wire.next()).status_code == 200
         assert (await wire.next()).data == EVENTS[0]
@@ -111,7 +111,7 @@
 async def test_an_attempt_that_ends_badly(script: object, never_ran: bool) -> None:
     first, second = Engine(), Engine()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
-    async with among(first, second) as router:
+    async with running_router(first, second) as router:
         got = await router.post()
     if script is begin_and_reset:  # it belongs to the client: nothing more goes out, and no last chunk
         assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
@@ -123,7 +123,7 @@
 
 @trio_test
 async def test_an_rpc_that_the_module_gives_up_is_answered_at_once() -> None:
-    async with among(Engine(refuse)) as router:
+    async with running_router(Engine(refuse)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="4000m")
         assert got.status == 503 and trio.current_time() - began < 1.0
@@ -138,9 +138,9 @@
         await call.more(*EVENTS[1:])
         await call.end()
 
-    async with among(Engine(late)) as router:
+    async with running_router(Engine(late)) as router:
         assert (await router.post(x_expires_in="200m")).whole
-    async with among(Engine(hang)) as router:
+    async with running_router(Engine(hang)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="300m")
         assert got.status in (503, 504) and trio.current_time() - began < 0.3
@@ -155,7 +155,7 @@
         await call.left()
         left.set()
 
-    async with among(Engine(until_left)) as router:
+    async with running_router(Engine(until_left)) as router:
         wire = await router.start_post()
         await wire.next()
         await wire.stream.aclose()
@@ -170,14 +170,14 @@
         await call.start(EVENTS[0])
         await call.left()
 
-    async with among(Engine(silent)) as router:
+    async with running_router(Engine(silent)) as router:
         got = await router.post()
     assert (got.body, got.whole) == (EVENTS[0], False)
 
 
 @trio_test
 async def test_a_client_keeps_its_connection_from_one_request_to_the_next() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         wire = await router.connect()
         for trace in (b"t1", b"t2", b"t3"):
             await wire.stream.send_all(ONE % trace)
@@ -194,13 +194,13 @@
 ) -> None:
     monkeypatch.setattr(http_client, "REST_S", 0.0)
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         for _ in range(3):
             await router.post()
         assert engine.connections == 1
         monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         await router.post()
         await router.post()
     assert engine.connections == 2
@@ -210,7 +210,7 @@
 async def test_nothing_new_goes_to_an_engine_that_drains() -> None:
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         discovery.tell(e0="Terminating")
         while router.program.core.can_serve() and all(
@@ -233,7 +233,10 @@
         hung, good = Engine(), Engine()
         hung.address = f"127.0.0.1:{stuck.getsockname()[1]}"
         discovery = Discovery(hung)
-        async with good.open(), among(discovery=discovery, limits={"connect_timeout_s": 60.0}) as router:
+        async with (
+            good.open(),
+            running_router(discovery=discovery, limits={"connect_timeout_s": 60.0}) as router,
+        ):
             await discovery.watching.wait()
             async with trio.open_nursery() as nursery:
 
@@ -289,7 +292,7 @@
         held.set()
 
     engine = Engine(hold)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.start_post()
         await taken.wait()
         await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 60_000) * 3)
@@ -303,7 +306,7 @@
 async def test_commands_sent_at_once_are_answered_in_turn_and_their_clocks_run_meanwhile() -> None:
     first, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(first))
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
         await wire.stream.send_all(b"".join(sent))
@@ -320,7 +323,7 @@
 async def test_what_was_sent_ahead_is_answered_by_a_router_that_was_told_to_stop() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"taken"))
         said = await wire.stream.receive_some(65536)  # its head says nothing of an end
@@ -352,7 +355,7 @@
 
 @trio_test
 async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         router.program.payloads.most = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
@@ -366,7 +369,7 @@
     finish, engine = trio.Event(), Engine()
     engine.script = serve_until(finish)
     body, count = b"x" * 250_000, 12
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         gc.collect()
         tracemalloc.start()
         try:
@@ -395,7 +398,7 @@
     engine = Engine()
     discovery = Discovery(engine)
     discovery.refuse = 1
-    async with among(engine, discovery=discovery):
+    async with running_router(engine, discovery=discovery):
         while discovery.watches < 3:  # the first is refused, the second stalls
             await trio.sleep(0.01)
 
@@ -411,7 +414,7 @@
         entry % b'"capacity_hint":NaN',
         entry % b'"pod_group":1e999',
     ]
-    async with among(
+    async with running_router(
         engine, discovery=discovery, contract={**SETTINGS["contract"], "must_ask_in_s": 0.2}
     ) as router:
         await discovery.watching.wait()
@@ -429,7 +432,7 @@
     contract = {**SETTINGS["contract"], "must_ask_in_s": 0.2}
     if how == "push":
         del contract["must_ask_in_s"]
-    async with among(
+    async with running_router(
         engine, discovery=discovery, lists=how, balancers=1024, me=1023, contract=contract
     ) as router:
         await discovery.watching.wait()
@@ -447,7 +450,7 @@
 
 @trio_test
 async def test_what_is_wrong_with_a_request_is_said() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         assert (await router.ask("GET", "/up")).status == 200
         for bad in (
             {"x_trace_id": None},
@@ -472,7 +475,7 @@
 @trio_test
 async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.05)
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         wire = await router.connect()
         await wire.stream.send_all(b"POST /v1/chat")
         assert b" 408 " in await wire.stream.receive_some(100)
@@ -497,7 +500,7 @@
             sent += 1
         await call.end()
 
-    async with among(Engine(flood)) as router:
+    async with running_router(Engine(flood)) as router:
         wire = await router.start_post()
         await wire.next()
         await trio.testing.wait_all_tasks_blocked(0.1)  # until nothing moves any more
@@ -512,7 +515,7 @@
 async def test_sigterm_answers_all_that_was_taken_and_ends() -> None:
     finish = trio.Event()
     slowly = serve_until(finish)
-    async with among(Engine(slowly)) as router:
+    async with running_router(Engine(slowly)) as router:
         idle = await router.connect()
         wire = await router.start_post()
         await wire.next()
@@ -536,7 +539,7 @@
 @trio_test
 async def test_pipelined_requests_get_their_answers_in_order() -> None:
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(ONE % b"t1" + ONE % b"t2")
         data = b""
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -10,7 +10,7 @@
 import trio.testing
 from grpc_peers import BOTH, METADATA, SharedEngine, Stream, grpc_client, piece, request, serve_well
 from hyperframe.frame import GoAwayFrame
-from peers import among, trio_test
+from peers import running_router, trio_test
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
@@ -52,7 +52,7 @@
         engine.grpc_scripts = [turn_away, fail]
         engine.scripts = []
     statuses: Counter[str] = Counter()
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(*engines, operator=BOTH) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
             got = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
@@ -85,7 +85,7 @@
         await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
     engine = SharedEngine(with_metadata)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
@@ -98,7 +98,7 @@
 
 @trio_test
 async def test_a_stream_carries_one_request_after_the_other() -> None:
-    async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
         await stream.send(request(name="r2"), end=True)
@@ -116,7 +116,7 @@
 @trio_test
 async def test_how_an_engines_failure_is_told(script: object, code: Code, count: int) -> None:
     engine = SharedEngine(script)  # type: ignore[arg-type]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         assert await stream.answer() == (code, [piece(1)][:count])
         if code is Code.UNAVAILABLE:
@@ -129,7 +129,7 @@
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
     engines = SharedEngine(fail), SharedEngine(fail)
     async with (
-        among(*engines, operator=BOTH, categories=categories) as router,
+        running_router(*engines, operator=BOTH, categories=categories) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelInfer", request()) == (Code.INTERNAL, [])
@@ -142,7 +142,7 @@
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
     engine = SharedEngine(unknown_tensor)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for method, message, fields, code in (
             ("ModelInfer", b"\xff\xff", {}, Code.INVALID_ARGUMENT),
             ("ModelInfer", request(), {"sorreldock_class": "nothing"}, Code.INVALID_ARGUMENT),
@@ -175,7 +175,7 @@
 
     engine = SharedEngine(late)
     engine.grpc_scripts = [hang]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         began = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
         assert trio.current_time() - began < 1.0  # not the 4 s of its class
@@ -186,7 +186,7 @@
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
@@ -202,7 +202,7 @@
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
-    async with among(engine, operator=BOTH) as router:
+    async with running_router(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
         await engine.grpc_calls[0].until(lambda: engine.grpc_calls[0].end.closed)
@@ -212,7 +212,7 @@
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
     async with (
-        among(SharedEngine(begin_and_hang), operator=BOTH) as router,
+        running_router(SharedEngine(begin_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
@@ -231,7 +231,7 @@
         await call.finish(0)
 
     engine = SharedEngine(flood)
-    async with among(engine, operator=BOTH) as router, grpc_client(router, hungry=False) as slow:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router, hungry=False) as slow:
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
         assert 0 < sent < 20  # a window or two, and the buffers between
@@ -243,7 +243,7 @@
 @trio_test
 async def test_engine_connections_are_kept_and_a_farewell_is_heeded() -> None:
     engine = SharedEngine()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
         assert engine.connections == 1
@@ -267,7 +267,7 @@
 
     engine = SharedEngine()
     engine.grpc_scripts = [farewell]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(2):
             assert await client.call("ModelStreamInfer", request()) == (0, [piece(1), piece(2)])
     assert engine.connections == 2
@@ -282,7 +282,7 @@
     engines = SharedEngine(), SharedEngine()
     for engine in engines:
         engine.grpc_scripts = [refuse]
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(*engines, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", request()))[0] == 0
     assert sum(len(e.grpc_calls) for e in engines) == 3
@@ -296,7 +296,7 @@
         engine_protocols=("http", "kserve"),
         least_severity="emerg",
     )
-    async with among(SharedEngine(), operator=operator) as router:
+    async with running_router(SharedEngine(), operator=operator) as router:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
@@ -337,7 +337,7 @@
         await finish.wait()
         await call.finish(0)
 
-    async with among(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         router.program.lifecycle.stop_asked.set()
@@ -383,7 +383,7 @@
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
-    async with among(SharedEngine(), operator=BOTH) as router:
+    async with running_router(SharedEngine(), operator=BOTH) as router:
         await trio.to_thread.run_sync(talk, router.program.addresses["kserve"])
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, trio_test
+from peers import EVENTS, SETTINGS, Call, Engine, running_router, serve_well, trio_test
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
 from sorreldock.kserve.framing import Farewell, Farewells
@@ -97,7 +97,7 @@
             await call.more(tail[at : at + 7])
         await call.end()
 
-    async with among(Engine(report)) as router:
+    async with running_router(Engine(report)) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).whole
         while not seen.of(AttemptEnded):
@@ -110,7 +110,7 @@
 
 @trio_test
 async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         Recorder(router.program.core._gateway, lambda events: [])
         began = trio.current_time()
         # Nothing but the deadline's timer answers; a loaded machine may lag it, a lost timer never ends.
@@ -126,7 +126,7 @@
         await call.left()
 
     engines = [Engine(hang), Engine(hang)]
-    async with among(*engines) as router:
+    async with running_router(*engines) as router:
         core = router.program.core
 
         def both(events: Sequence[Event]) -> list[Any]:
@@ -145,7 +145,7 @@
         assert call.head.target == b"/metrics/load"
         await call.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
 
-    async with among(Engine(load), limits={"probes": True}) as router:
+    async with running_router(Engine(load), limits={"probes": True}) as router:
         core = router.program.core
         seen = Recorder(core._gateway, lambda events: [])
         core._decide([])
@@ -167,13 +167,13 @@
 
     engine = Engine()
     engine.scripts = [nonsense]
-    async with among(engine, Engine()) as router:
+    async with running_router(engine, Engine()) as router:
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
 @trio_test
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         router.program.budget.most[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
@@ -193,7 +193,7 @@
         await all_out.wait()
         await serve_well(call)
 
-    async with among(Engine(together), balancers=200) as router:
+    async with running_router(Engine(together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
             for k in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
@@ -232,7 +232,7 @@
 
 @trio_test
 async def test_a_connection_at_rest_holds_no_buffers() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         wire = await router.start_post()
         while not isinstance(await wire.next(), h11.EndOfMessage):
             pass
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Discovery, Engine, among, trio_test
+from peers import EVENTS, SETTINGS, Call, Discovery, Engine, running_router, trio_test
 
 from sorreldock.program import syslog
 from sorreldock.program.config import ConfigError, Operator, load, operator_from
@@ -275,7 +275,7 @@
 
     engine = Engine(slowly)
     first, second = Discovery(engine), Discovery(engine)
-    async with second.open(), among(engine, discovery=first) as router:
+    async with second.open(), running_router(engine, discovery=first) as router:
         await first.watching.wait()
         before = dict(router.program.core.subchannels)
         wire = await router.start_post()
@@ -291,7 +291,7 @@
 async def test_a_fault_in_the_module_fails_its_rpcs_and_spares_the_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         assert (await router.post()).status == 200
         gateway = router.program.core._gateway
         with monkeypatch.context() as patch:
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -11,7 +11,7 @@
 import trio.testing
 from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
 from grpc_peers import request as grpc_request
-from peers import Call, Discovery, Engine, among, serve_until, trio_test
+from peers import Call, Discovery, Engine, running_router, serve_until, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.kserve.framing import Code
@@ -42,7 +42,7 @@
         left.set()
 
     engine = Engine(hold)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.start_post()
         await taken.wait()
         await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 200_000) * 5)
@@ -72,7 +72,7 @@
 async def test_of_too_many_requests_ahead_the_kept_ones_are_served_and_the_next_is_refused() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"t0"))
         await wire.stream.receive_some(65536)
@@ -91,7 +91,7 @@
 async def test_the_clock_of_a_request_sent_ahead_runs_from_its_own_bytes() -> None:
     finish, engine = trio.Event(), Engine()
     engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         for trace in (b"t0", b"t1", b"t2"):  # each is read before the next is sent
             await wire.stream.send_all(raw(x_trace_id=trace, x_expires_in=b"1900m"))
@@ -210,7 +210,7 @@
 ) -> None:
     monkeypatch.setattr(program_serve, "CONNECTIONS_END_S", 0.0)
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-4])
@@ -246,7 +246,7 @@
 ) -> None:
     monkeypatch.setattr(program_serve, "LAST_TAKEN_S", 0.0 if late else 60.0)
     engine = Engine()
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-4])
@@ -267,7 +267,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = SharedEngine()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         router.program.fronts["kserve"].refuse_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not engine.grpc_calls
@@ -275,7 +275,7 @@
 
 @trio_test
 async def test_a_drain_does_not_reset_an_answer_behind_which_bytes_still_come() -> None:
-    async with among(Engine()) as router:
+    async with running_router(Engine()) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_qos=b"nothing", length=b"999"))
         front = router.program.fronts["http"]
@@ -308,7 +308,7 @@
 
     engine = SharedEngine()
     engine.grpc_scripts = [flood, hold]
-    async with among(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
         client.end.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
         client.end.h2.update_settings({4: 2**30})  # room for all that the engine sends
         client.end.h2.increment_flow_control_window(2**30)
@@ -334,7 +334,7 @@
         while not call.end.closed:
             await call.end.changed.wait()
 
-    async with among(SharedEngine(hold), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(hold), operator=BOTH) as router, grpc_client(router) as client:
         await client.start("ModelInfer", grpc_request())
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
@@ -348,7 +348,7 @@
 async def test_an_older_change_does_not_bring_back_a_server_that_drains() -> None:
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         subchannels = router.program.core.subchannels
         discovery.tell(e0="Terminating")
