--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -14,7 +14,7 @@
 import h2.events
 import h2.exceptions
 import trio
-from peers import Engine, Router
+from peers import Router, ScriptedServer
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Farewells
@@ -179,7 +179,7 @@
     await call.finish(0)
 
 
-class SharedEngine(Engine):
+class SharedEngine(ScriptedServer):
     """Both protocols on one port, told apart by HTTP/2's preface."""
 
     def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
@@ -201,12 +201,12 @@
 
     async def _follow(self, call: Stream) -> None:
         self.grpc_calls.append(call)
-        self.out += 1
-        self.most_out = max(self.most_out, self.out)
+        self.open_requests += 1
+        self.max_open_requests = max(self.max_open_requests, self.open_requests)
         try:
             await (self.grpc_scripts.pop(0) if self.grpc_scripts else self.grpc_script)(call)
         finally:
-            self.out -= 1
+            self.open_requests -= 1
 
 
 class Rest:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -68,7 +68,7 @@
     return run
 
 
-class Wire:
+class HttpConnection:
     """One end of an HTTP/1.1 connection."""
 
     def __init__(self, stream: Any, role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
@@ -94,10 +94,10 @@
 
 
 @dataclass
-class Call:
+class ReceivedRequest:
     """A request that has reached a scripted engine."""
 
-    wire: Wire
+    wire: HttpConnection
     head: h11.Request
     body: bytes
 
@@ -127,15 +127,15 @@
             pass
 
 
-async def serve_well(call: Call) -> None:
+async def serve_well(call: ReceivedRequest) -> None:
     await call.start(*EVENTS)
     await call.end()
 
 
-def serve_until(finish: trio.Event) -> Callable[[Call], Awaitable[None]]:
+def serve_until(finish: trio.Event) -> Callable[[ReceivedRequest], Awaitable[None]]:
     """A script whose answers begin at once, and end when they are told."""
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await finish.wait()
         await call.more(*EVENTS[1:])
@@ -179,28 +179,28 @@
         raise NotImplementedError
 
 
-class Engine(Peer):
+class ScriptedServer(Peer):
     """An engine that follows a script for each request; `scripts` are used up first, one a request."""
 
-    def __init__(self, script: Callable[[Call], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, script: Callable[[ReceivedRequest], Awaitable[None]] = serve_well) -> None:
         super().__init__()
         self.script = script
-        self.scripts: list[Callable[[Call], Awaitable[None]]] = []
-        self.calls: list[Call] = []
-        self.out = self.most_out = 0
+        self.scripts: list[Callable[[ReceivedRequest], Awaitable[None]]] = []
+        self.received_requests: list[ReceivedRequest] = []
+        self.open_requests = self.max_open_requests = 0
 
     async def attend(self, stream: Any) -> None:
-        wire = Wire(stream, h11.SERVER)
+        wire = HttpConnection(stream, h11.SERVER)
         while True:
             head, body = await wire.message()
-            call = Call(wire, head, body)
-            self.calls.append(call)
-            self.out += 1
-            self.most_out = max(self.most_out, self.out)
+            call = ReceivedRequest(wire, head, body)
+            self.received_requests.append(call)
+            self.open_requests += 1
+            self.max_open_requests = max(self.max_open_requests, self.open_requests)
             try:
                 await (self.scripts.pop(0) if self.scripts else self.script)(call)
             finally:
-                self.out -= 1
+                self.open_requests -= 1
             if wire.parser.our_state is not h11.DONE:
                 return
             wire.parser.start_next_cycle()
@@ -247,11 +247,11 @@
         self.changed = trio.Event()
 
     async def attend(self, stream: trio.SocketStream) -> None:
-        wire = Wire(stream, h11.SERVER)
+        wire = HttpConnection(stream, h11.SERVER)
         await wire.message()
         self.watches += 1
         if self.watches <= self.refuse:
-            await Call(wire, None, b"").answer(503)  # type: ignore[arg-type]
+            await ReceivedRequest(wire, None, b"").answer(503)  # type: ignore[arg-type]
             return
         await wire.send(h11.Response(status_code=200, headers=[]))
         if self.nonsense:
@@ -293,9 +293,9 @@
     def address(self) -> str:
         return self.program.addresses["http"]
 
-    async def connect(self) -> Wire:
+    async def connect(self) -> HttpConnection:
         host, port = self.address.rsplit(":", 1)
-        return Wire(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
+        return HttpConnection(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
 
     async def ask(self, method: str, target: str, body: bytes = b"", **headers: str | None) -> Answer:
         wire = await self.connect()
@@ -306,7 +306,7 @@
     async def post(self, body: bytes = b"{}", **headers: str | None) -> Answer:
         return await self.ask("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
 
-    async def start_post(self, **headers: str | None) -> Wire:
+    async def start_post(self, **headers: str | None) -> HttpConnection:
         """A request whose answer the test reads by itself."""
         wire = await self.connect()
         await wire.send(
@@ -317,7 +317,7 @@
         return wire
 
 
-async def streaming(router: Router, engine: Engine, finish: trio.Event) -> Wire:
+async def streaming(router: Router, engine: ScriptedServer, finish: trio.Event) -> HttpConnection:
     """A request whose answer has begun, and ends when it is told."""
     engine.scripts.append(serve_until(finish))
     wire = await router.start_post(x_trace_id="taken")
@@ -344,7 +344,7 @@
     )
 
 
-async def answer(wire: Wire) -> Answer:
+async def answer(wire: HttpConnection) -> Answer:
     head = await wire.next()
     body, whole = b"", False
     try:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,17 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, Engine, Router, Wire, answer, running_router, serve_until, streaming, trio_test
+from peers import (
+    EVENTS,
+    HttpConnection,
+    Router,
+    ScriptedServer,
+    answer,
+    running_router,
+    serve_until,
+    streaming,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.transport import admission
@@ -82,7 +92,7 @@
     assert order == [stopped, silent, idle, slow]
 
 
-async def half_sent(router: Router, part: bytes) -> Wire:
+async def half_sent(router: Router, part: bytes) -> HttpConnection:
     wire = await router.connect()
     await wire.stream.send_all(part)
     return wire
@@ -90,7 +100,7 @@
 
 @trio_test
 async def test_half_sent_and_idle_connections_make_room_and_taken_requests_never() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     async with running_router(engine) as router:
         budget = router.program.budget
         taken = await streaming(router, engine, finish)
@@ -125,7 +135,7 @@
 
 @trio_test
 async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         payloads = router.program.payloads
         payloads.most = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Engine, running_router, serve_well, trio_test
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, running_router, serve_well, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
@@ -21,9 +21,9 @@
 
 @trio_test
 async def test_a_second_answer_that_comes_late_is_not_the_next_requests() -> None:
-    spoil, engine = trio.Event(), Engine()
+    spoil, engine = trio.Event(), ScriptedServer()
 
-    async def twice(call: Call) -> None:
+    async def twice(call: ReceivedRequest) -> None:
         await serve_well(call)
         await spoil.wait()
         await call.wire.stream.send_all(
@@ -80,17 +80,17 @@
 
     monkeypatch.setattr(program_serve, "dialler", slow_dialler)
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
     discovery_address = ""
     async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
         dialled.clear()
         got = await router.post()
     assert got.status in (502, 503, 504) and len(dialled) == 2
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
 @trio_test
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -9,7 +9,7 @@
 import trio
 from grpc_peers import BOTH, SharedEngine, Stream, framed, grpc_client, piece
 from grpc_peers import request as grpc_request
-from peers import EVENTS, FIELDS, Call, Engine, request, running_router, trio_test
+from peers import EVENTS, FIELDS, ReceivedRequest, ScriptedServer, request, running_router, trio_test
 from test_parts import Recorder
 
 from sorreldock.interface import AttemptEnded, Status
@@ -66,7 +66,7 @@
 )
 @trio_test
 async def test_what_can_be_read_in_two_ways_or_none_is_answered_and_nothing_passes_on(sent: bytes) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(sent + raw(x_trace_id=b"behind"))
@@ -74,13 +74,13 @@
         said = await all_of(wire.stream)
         assert said.startswith(b"HTTP/1.1 4") and said.count(b"HTTP/1.1") == 1
         assert trio.current_time() - began < 0.5
-        assert b"connection: close" in said.lower() and not engine.calls
+        assert b"connection: close" in said.lower() and not engine.received_requests
         await wire.stream.aclose()
 
 
 @trio_test
 async def test_an_error_is_read_though_megabytes_are_still_coming() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         for head in (raw(body=b"", length=b"8000000"), raw(b"transfer-encoding: chunked", body=b"")):
             wire = await router.connect()
             if b"chunked" in head:
@@ -97,7 +97,7 @@
 async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         if begun:
             await wire.stream.send_all(begun)
@@ -109,7 +109,7 @@
 @trio_test
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "STALL_S", 0.3)
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
@@ -117,33 +117,33 @@
         for at in range(8):
             await trio.sleep(0.06)
             await wire.stream.send_all(sent[at - 8 : at - 7 or None])
-        assert (await wire.next()).status_code == 200 and engine.calls[0].body == b"x" * 8
+        assert (await wire.next()).status_code == 200 and engine.received_requests[0].body == b"x" * 8
 
 
 @trio_test
 async def test_the_id_of_an_open_request_is_refused_and_the_first_is_unharmed() -> None:
     go_on = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await go_on.wait()
         await call.more(*EVENTS[1:])
         await call.end()
 
-    engine = Engine(slowly)
+    engine = ScriptedServer(slowly)
     async with running_router(engine) as router:
         first = await router.start_post()
         await first.next()
         assert (await router.post()).status == 409
         go_on.set()
-        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(engine.calls) == 1
+        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(engine.received_requests) == 1
         assert (await router.post()).whole  # a name is free again once its request is over
 
 
 @trio_test
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission, "LEAST_S", 0.0)
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         usual = await router.connect()
         await usual.stream.send_all(raw())
         while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
@@ -163,33 +163,33 @@
 # Engines.
 
 
-async def noise(call: Call) -> None:
+async def noise(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
     await call.left()
 
 
-async def endless_head(call: Call) -> None:
+async def endless_head(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
     await call.left()
 
 
-async def endless_chunk(call: Call) -> None:
+async def endless_chunk(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"B2D05E00\r\n")
     while True:
         await call.wire.stream.send_all(EVENTS[0] * 100)
 
 
-async def noise_for_events(call: Call) -> None:
+async def noise_for_events(call: ReceivedRequest) -> None:
     await call.start(b"\xff\x00noise\n\n" + EVENTS[0])
     await call.left()
 
 
-async def wrong_size(call: Call) -> None:
+async def wrong_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
     await call.left()
 
 
-async def no_size(call: Call) -> None:
+async def no_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
     await call.left()
 
@@ -200,28 +200,28 @@
 @pytest.mark.parametrize("script", SPOILT)
 @trio_test
 async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
-    script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
-    engines = [Engine(), Engine()]
+    engines = [ScriptedServer(), ScriptedServer()]
     for engine in engines:
         engine.scripts = [script]
     async with running_router(*engines) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both are spoilt: tried twice, and no more
         assert [e.status for e in seen.of(AttemptEnded)] == [Status.RESET] * 2
-        assert [len(engine.calls) for engine in engines] == [1, 1]
+        assert [len(engine.received_requests) for engine in engines] == [1, 1]
         assert (await router.post()).whole
 
 
 @pytest.mark.parametrize("script", [endless_chunk, wrong_size, no_size, noise_for_events])
 @trio_test
 async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
-    script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.2)
 
-    async def well_begun(call: Call) -> None:
+    async def well_begun(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         real = call.wire.stream
         call.wire.stream = Behind(real)
@@ -241,14 +241,14 @@
             for event in events[1:]:
                 await self.stream.send_all(b"%x\r\n%b\r\n" % (len(event.data), event.data))
 
-    async with running_router(Engine(well_begun)) as router:
+    async with running_router(ScriptedServer(well_begun)) as router:
         got = await router.post()
     assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
 
 
 @trio_test
 async def test_what_comes_behind_or_before_an_answer_harms_nothing() -> None:
-    async def more_than_asked(call: Call) -> None:
+    async def more_than_asked(call: ReceivedRequest) -> None:
         body = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS) + b"0\r\n\r\n"
         informational = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n" * 3
         load = b"Endpoint-Load-Metrics: TEXT \xff\xfe=, queue=-4, errors_per_s=1e99\r\n\r\n"
@@ -256,7 +256,7 @@
         await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
         await call.left()
 
-    engine = Engine(more_than_asked)
+    engine = ScriptedServer(more_than_asked)
     async with running_router(engine) as router:
         for _ in range(3):
             got = await router.post()
@@ -266,12 +266,12 @@
 
 @trio_test
 async def test_a_request_at_fault_is_told_so_and_its_engine_stays_in_use() -> None:
-    async def bad_request(call: Call) -> None:
+    async def bad_request(call: ReceivedRequest) -> None:
         await call.answer(400, b"no messages")
 
-    engine = Engine()
+    engine = ScriptedServer()
     engine.scripts = [bad_request]
-    async with running_router(engine, Engine()) as router:
+    async with running_router(engine, ScriptedServer()) as router:
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -32,7 +32,7 @@
 )
 from grpc_peers import SharedEngine
 from grpc_peers import Stream as GrpcStream
-from peers import Call, serve_well
+from peers import ReceivedRequest, serve_well
 
 import sorreldock.client
 from sorreldock.client import (
@@ -52,7 +52,7 @@
 SAFE = ClientSettings(safe_classes=["alt-text"])
 
 
-async def turned_away(call: Call) -> None:
+async def turned_away(call: ReceivedRequest) -> None:
     await call.answer(503, x_never_ran="1")
 
 
@@ -114,11 +114,11 @@
 
 @on_both
 async def test_a_stream_broken_at_and_after_its_first_event() -> None:
-    async def at(call: Call) -> None:
+    async def at(call: ReceivedRequest) -> None:
         await call.start(b'data: {"n":1}\n\n')
         await call.wire.stream.aclose()
 
-    async def after(call: Call) -> None:
+    async def after(call: ReceivedRequest) -> None:
         await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
         await call.wire.stream.aclose()
 
@@ -136,7 +136,7 @@
 
 @on_both
 async def test_the_rest_of_a_broken_answer_is_asked_for_once_and_after_the_first_has_closed() -> None:
-    async def cut(call: Call) -> None:
+    async def cut(call: ReceivedRequest) -> None:
         await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
         await call.wire.stream.aclose()
 
@@ -147,11 +147,11 @@
             async with client.stream(ASK, timeout_s=4.0) as answer:
                 events = [event async for event in answer]
             assert answer.resumed and (answer.attempts, answer.retries) == (2, 0) and len(events) == 4
-            assert b'"content":"a "' in engine.calls[1].body
+            assert b'"content":"a "' in engine.received_requests[1].body
             with pytest.raises(Broken) as broken:
                 await client.ask(ASK, timeout_s=4.0)
             assert len(broken.value.received) == 2 and broken.value.attempts == 2
-            assert counts(client, "resumes", "retries") == (2, 0) and engine.most_out == 1
+            assert counts(client, "resumes", "retries") == (2, 0) and engine.max_open_requests == 1
 
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
@@ -160,7 +160,7 @@
 async def test_leaving_cancels_at_the_router(protocol: str, waiting: bool) -> None:
     came, left = threading.Event(), threading.Event()
 
-    async def hang(call: Call) -> None:
+    async def hang(call: ReceivedRequest) -> None:
         if not waiting:
             await call.start(b"data: 1\n\n")
         came.set()
@@ -195,7 +195,7 @@
 
 @on_both
 async def test_a_client_closed_with_calls_open_says_so() -> None:
-    async def hang(call: Call) -> None:
+    async def hang(call: ReceivedRequest) -> None:
         await call.start(b"data: 1\n\n")
         await call.left()
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,15 @@
 import pytest
 import trio
 import trio.testing
-from peers import Call, Discovery, Engine, Router, Wire, running_router, trio_test
+from peers import (
+    Discovery,
+    HttpConnection,
+    ReceivedRequest,
+    Router,
+    ScriptedServer,
+    running_router,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.interface import (
@@ -50,7 +58,7 @@
     return told
 
 
-async def burst(router: Router, count: int, time_left: bytes) -> list[Wire]:
+async def burst(router: Router, count: int, time_left: bytes) -> list[HttpConnection]:
     """Send so many requests at one moment: all are there before the first of them is decided on."""
     wires = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
@@ -62,7 +70,7 @@
 
 @trio_test
 async def test_requests_beyond_what_can_be_decided_are_refused_at_once_and_all_are_answered_in_time() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     took: list[float] = []
     statuses: list[int] = []
     async with running_router(engine) as router:
@@ -89,7 +97,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, time_s: False)
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
@@ -114,11 +122,11 @@
 async def test_an_attempt_decided_in_the_batch_in_which_its_client_left_counts_as_ended() -> None:
     release = trio.Event()
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await release.wait()
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
     async with running_router(first, second) as router:
         core = router.program.core
         wire = await router.start_post()
@@ -138,7 +146,7 @@
         await trio.testing.wait_all_tasks_blocked(0.01)
         assert core._gateway.everywhere.busy == 0 and not core._gateway.requests
         await wire.stream.aclose()
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
 def test_the_mailbox_puts_requests_behind_what_is_owed_and_cuts_long_lists() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,7 +13,17 @@
 import pytest
 import trio
 import trio.testing
-from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, running_router, serve_until, trio_test
+from peers import (
+    EVENTS,
+    FIELDS,
+    SETTINGS,
+    Discovery,
+    ReceivedRequest,
+    ScriptedServer,
+    running_router,
+    serve_until,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.interface import Status
@@ -32,29 +42,29 @@
 )
 
 
-async def refuse(call: Call) -> None:
+async def refuse(call: ReceivedRequest) -> None:
     await call.answer(503, x_never_ran="1", endpoint_load_metrics="TEXT eps=0.0, queue=9")
 
 
-async def fail(call: Call) -> None:
+async def fail(call: ReceivedRequest) -> None:
     await call.answer(500)
 
 
-async def hang(call: Call) -> None:
+async def hang(call: ReceivedRequest) -> None:
     await call.left()
 
 
-async def begin_and_reset(call: Call) -> None:
+async def begin_and_reset(call: ReceivedRequest) -> None:
     await call.start(EVENTS[0])
 
 
 @trio_test
 async def test_an_answer_passes_on_unchanged_and_the_request_too() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         got = await router.post(b'{"model":"chat"}')
     assert (got.status, got.body, got.whole) == (200, b"".join(EVENTS), True)
-    [call] = engine.calls
+    [call] = engine.received_requests
     assert (call.head.method, call.head.target, call.body) == (
         b"POST",
         b"/v1/chat/completions?x=1",
@@ -66,7 +76,7 @@
 
 @trio_test
 async def test_fields_that_the_router_does_not_know_pass_on_and_those_of_one_connection_do_not() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(
@@ -80,7 +90,7 @@
             )
         )
         assert (await wire.next()).status_code == 200
-    [call] = engine.calls
+    [call] = engine.received_requests
     names = [name for name, _ in call.head.headers]
     assert call.headers["idempotency-key"] == "k1"
     assert [value for name, value in call.head.headers if name == b"x-note"] == [b"a", b"b"]
@@ -92,13 +102,13 @@
 async def test_events_pass_on_as_they_come() -> None:
     more = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
         await call.more(EVENTS[1])
         await call.end()
 
-    async with running_router(Engine(slowly)) as router:
+    async with running_router(ScriptedServer(slowly)) as router:
         wire = await router.start_post()
         assert (await wire.next()).status_code == 200
         assert (await wire.next()).data == EVENTS[0]
@@ -109,21 +119,21 @@
 @pytest.mark.parametrize("script, never_ran", [(refuse, True), (fail, False), (begin_and_reset, False)])
 @trio_test
 async def test_an_attempt_that_ends_badly(script: object, never_ran: bool) -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
     async with running_router(first, second) as router:
         got = await router.post()
     if script is begin_and_reset:  # it belongs to the client: nothing more goes out, and no last chunk
         assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
-        assert len(first.calls) + len(second.calls) == 1
+        assert len(first.received_requests) + len(second.received_requests) == 1
     else:
-        assert got.status == 503 and len(first.calls) == len(second.calls) == 1
-        assert max(first.most_out, second.most_out) == 1
+        assert got.status == 503 and len(first.received_requests) == len(second.received_requests) == 1
+        assert max(first.max_open_requests, second.max_open_requests) == 1
 
 
 @trio_test
 async def test_an_rpc_that_the_module_gives_up_is_answered_at_once() -> None:
-    async with running_router(Engine(refuse)) as router:
+    async with running_router(ScriptedServer(refuse)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="4000m")
         assert got.status == 503 and trio.current_time() - began < 1.0
@@ -132,15 +142,15 @@
 
 @trio_test
 async def test_the_deadline_runs_until_the_first_event_and_no_longer() -> None:
-    async def late(call: Call) -> None:
+    async def late(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await trio.sleep(0.3)  # longer than the deadline that no longer runs
         await call.more(*EVENTS[1:])
         await call.end()
 
-    async with running_router(Engine(late)) as router:
+    async with running_router(ScriptedServer(late)) as router:
         assert (await router.post(x_expires_in="200m")).whole
-    async with running_router(Engine(hang)) as router:
+    async with running_router(ScriptedServer(hang)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="300m")
         assert got.status in (503, 504) and trio.current_time() - began < 0.3
@@ -150,12 +160,12 @@
 async def test_a_client_that_leaves_gives_up_its_attempt() -> None:
     left = trio.Event()
 
-    async def until_left(call: Call) -> None:
+    async def until_left(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await call.left()
         left.set()
 
-    async with running_router(Engine(until_left)) as router:
+    async with running_router(ScriptedServer(until_left)) as router:
         wire = await router.start_post()
         await wire.next()
         await wire.stream.aclose()
@@ -166,18 +176,18 @@
 async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
 
-    async def silent(call: Call) -> None:
+    async def silent(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await call.left()
 
-    async with running_router(Engine(silent)) as router:
+    async with running_router(ScriptedServer(silent)) as router:
         got = await router.post()
     assert (got.body, got.whole) == (EVENTS[0], False)
 
 
 @trio_test
 async def test_a_client_keeps_its_connection_from_one_request_to_the_next() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         for trace in (b"t1", b"t2", b"t3"):
             await wire.stream.send_all(ONE % trace)
@@ -193,13 +203,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http_client, "REST_S", 0.0)
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         for _ in range(3):
             await router.post()
         assert engine.connections == 1
         monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         await router.post()
         await router.post()
@@ -208,7 +218,7 @@
 
 @trio_test
 async def test_nothing_new_goes_to_an_engine_that_drains() -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
@@ -219,7 +229,7 @@
             await trio.sleep(0.005)
         for _ in range(8):
             assert (await router.post(x_object=None)).whole
-    assert (len(first.calls), len(second.calls)) == (0, 8)
+    assert (len(first.received_requests), len(second.received_requests)) == (0, 8)
 
 
 @trio_test
@@ -230,7 +240,7 @@
         for filler in (first, second):
             filler.setblocking(False)
             filler.connect_ex(stuck.getsockname())
-        hung, good = Engine(), Engine()
+        hung, good = ScriptedServer(), ScriptedServer()
         hung.address = f"127.0.0.1:{stuck.getsockname()[1]}"
         discovery = Discovery(hung)
         async with (
@@ -249,7 +259,7 @@
                     await trio.sleep(0.005)
                 discovery.engines = (hung, good)
                 discovery.tell(e0="Terminating")
-    assert len(good.calls) == 1
+    assert len(good.received_requests) == 1
 
 
 @trio_test
@@ -286,12 +296,12 @@
 async def test_a_client_that_left_behind_all_that_it_sent_ahead_gets_no_further_attempt() -> None:
     held, taken = trio.Event(), trio.Event()
 
-    async def hold(call: Call) -> None:
+    async def hold(call: ReceivedRequest) -> None:
         taken.set()
         await call.left()
         held.set()
 
-    engine = Engine(hold)
+    engine = ScriptedServer(hold)
     async with running_router(engine) as router:
         wire = await router.start_post()
         await taken.wait()
@@ -299,12 +309,12 @@
         await wire.stream.aclose()  # an end, behind more than a connection's ring holds
         with trio.fail_after(1.0):
             await held.wait()
-    assert len(engine.calls) == 1 and router.program.payloads.used == 0
+    assert len(engine.received_requests) == 1 and router.program.payloads.used == 0
 
 
 @trio_test
 async def test_commands_sent_at_once_are_answered_in_turn_and_their_clocks_run_meanwhile() -> None:
-    first, engine = trio.Event(), Engine()
+    first, engine = trio.Event(), ScriptedServer()
     engine.scripts.append(serve_until(first))
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -315,13 +325,13 @@
         said = b""
         while said.count(b"\r\n0\r\n\r\n") < 4:
             said += await wire.stream.receive_some(65536)
-    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.calls]
+    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.received_requests]
     assert told[0] > 0.8 and all(wait < 0.65 for wait in told[1:]) and router.program.payloads.used == 0
 
 
 @trio_test
 async def test_what_was_sent_ahead_is_answered_by_a_router_that_was_told_to_stop() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     engine.scripts.append(serve_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -338,7 +348,7 @@
                 with suppress(trio.BrokenResourceError):
                     await wire.stream.send_all(raw(x_trace_id=b"late"))  # crosses the end
     assert said.count(b"\r\n0\r\n\r\n") == 2 and said.count(b"connection: close") == 1
-    assert [call.headers["x-trace-id"] for call in engine.calls] == ["taken", "ahead"]
+    assert [call.headers["x-trace-id"] for call in engine.received_requests] == ["taken", "ahead"]
 
 
 @trio_test
@@ -355,7 +365,7 @@
 
 @trio_test
 async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         router.program.payloads.most = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
@@ -366,7 +376,7 @@
 
 @trio_test
 async def test_a_body_is_let_go_once_its_answer_streams() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     engine.script = serve_until(finish)
     body, count = b"x" * 250_000, 12
     async with running_router(engine) as router:
@@ -383,7 +393,7 @@
         finally:
             tracemalloc.stop()
             finish.set()
-        assert len(engine.calls) == count and router.program.payloads.used == 0
+        assert len(engine.received_requests) == count and router.program.payloads.used == 0
         # The scripted engine keeps each body once; a router that kept them would hold as much again.
         assert held < 1.5 * count * len(body)
         for wire in wires:
@@ -395,7 +405,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(freshness, "SIGN_S", 0.1)
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     discovery.refuse = 1
     async with running_router(engine, discovery=discovery):
@@ -405,7 +415,7 @@
 
 @trio_test
 async def test_a_list_of_nonsense_ends_the_watch_and_not_the_program() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     entry = b'{"rev":2,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","az":"a","state":"Ready",%b}]}'
     discovery.nonsense = [
@@ -425,7 +435,7 @@
 @trio_test
 @pytest.mark.parametrize("how", ["ask", "push"])
 async def test_an_indented_list_of_1024_engines_is_taken_over_whole_by_one_of_1024_routers(how: str) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     discovery.indent = 4
     discovery.nonsense = [b'{"rev": 2,\n "targets": [{\n', b"{\n}]"]  # cut off; closed twice
@@ -450,7 +460,7 @@
 
 @trio_test
 async def test_what_is_wrong_with_a_request_is_said() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         assert (await router.ask("GET", "/up")).status == 200
         for bad in (
             {"x_trace_id": None},
@@ -475,7 +485,7 @@
 @trio_test
 async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.05)
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         await wire.stream.send_all(b"POST /v1/chat")
         assert b" 408 " in await wire.stream.receive_some(100)
@@ -492,7 +502,7 @@
     sent = 0
     chunk = b"data: " + b"x" * 60000 + b"\n\n"
 
-    async def flood(call: Call) -> None:
+    async def flood(call: ReceivedRequest) -> None:
         nonlocal sent
         await call.start()
         for _ in range(400):
@@ -500,7 +510,7 @@
             sent += 1
         await call.end()
 
-    async with running_router(Engine(flood)) as router:
+    async with running_router(ScriptedServer(flood)) as router:
         wire = await router.start_post()
         await wire.next()
         await trio.testing.wait_all_tasks_blocked(0.1)  # until nothing moves any more
@@ -515,7 +525,7 @@
 async def test_sigterm_answers_all_that_was_taken_and_ends() -> None:
     finish = trio.Event()
     slowly = serve_until(finish)
-    async with running_router(Engine(slowly)) as router:
+    async with running_router(ScriptedServer(slowly)) as router:
         idle = await router.connect()
         wire = await router.start_post()
         await wire.next()
@@ -538,11 +548,11 @@
 
 @trio_test
 async def test_pipelined_requests_get_their_answers_in_order() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(ONE % b"t1" + ONE % b"t2")
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 2:
             data += await wire.stream.receive_some(4096)
-    assert [c.headers["x-trace-id"] for c in engine.calls] == ["t1", "t2"]
+    assert [c.headers["x-trace-id"] for c in engine.received_requests] == ["t1", "t2"]
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -73,7 +73,7 @@
         assert not router.program.core.open
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
-    names = Counter(call.headers["x-trace-id"] for e in engines for call in e.calls)
+    names = Counter(call.headers["x-trace-id"] for e in engines for call in e.received_requests)
     assert set(names.values()) == {1}
 
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -7,7 +7,17 @@
 import h11
 import pytest
 import trio
-from peers import EVENTS, FIELDS, Engine, Router, answer, request, running_router, streaming, trio_test
+from peers import (
+    EVENTS,
+    FIELDS,
+    Router,
+    ScriptedServer,
+    answer,
+    request,
+    running_router,
+    streaming,
+    trio_test,
+)
 
 from sorreldock.program import console
 from sorreldock.program.phases import Phase
@@ -33,7 +43,7 @@
 
 @trio_test
 async def test_a_drained_router_answers_what_comes_empties_and_serves_again() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     async with running_router(engine, console="127.0.0.1:0") as router:
         assert await call(router, "ready") == "ok serving\n" == await call(router, "resume")
         assert (await router.ask("GET", "/up")).status == 200
@@ -70,7 +80,7 @@
 
 @trio_test
 async def test_a_call_back_within_the_lag_closes_nothing_and_sigterm_ends_a_drained_router() -> None:
-    async with running_router(Engine(), console="127.0.0.1:0") as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0") as router:
         program = router.program
         await call(router, "drain")
         assert await call(router, "resume") == "ok serving\n"
@@ -87,7 +97,7 @@
 
 @trio_test
 async def test_each_call_gets_a_line_and_silent_ones_cost_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with running_router(Engine(), console="127.0.0.1:0") as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0") as router:
         for sent in (b"drain now\n", b"\xff\n", b"\n"):
             unknown = "fail unknown call; there are ready, drain, resume\n"
             assert await heard(await caller(router, sent)) == unknown
@@ -110,7 +120,7 @@
 
 @trio_test
 async def test_a_crowd_of_clients_cannot_shut_the_operators_out() -> None:
-    async with running_router(Engine(), console="127.0.0.1:0", sockets=100) as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0", sockets=100) as router:
         budget: Any = router.program.budget
         crowd = [await router.connect() for _ in range(2 * sum(budget.most.values()))]
         assert sum(budget.most.values()) + console.DESCRIPTORS <= 100 - 100 // 6
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, Call, Engine, running_router, serve_well, trio_test
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, running_router, serve_well, trio_test
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
 from sorreldock.kserve.framing import Farewell, Farewells
@@ -89,7 +89,7 @@
 
 @trio_test
 async def test_the_end_of_a_stream_tells_the_module_load_and_kept_tokens() -> None:
-    async def report(call: Call) -> None:
+    async def report(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         usage = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}\n\n'
         tail = usage + b"data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT errors_per_s=1.5, backlog=4\n\n"
@@ -97,7 +97,7 @@
             await call.more(tail[at : at + 7])
         await call.end()
 
-    async with running_router(Engine(report)) as router:
+    async with running_router(ScriptedServer(report)) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).whole
         while not seen.of(AttemptEnded):
@@ -110,7 +110,7 @@
 
 @trio_test
 async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         Recorder(router.program.core._gateway, lambda events: [])
         began = trio.current_time()
         # Nothing but the deadline's timer answers; a loaded machine may lag it, a lost timer never ends.
@@ -122,10 +122,10 @@
 
 @trio_test
 async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
-    async def hang(call: Call) -> None:
+    async def hang(call: ReceivedRequest) -> None:
         await call.left()
 
-    engines = [Engine(hang), Engine(hang)]
+    engines = [ScriptedServer(hang), ScriptedServer(hang)]
     async with running_router(*engines) as router:
         core = router.program.core
 
@@ -136,16 +136,16 @@
         seen = Recorder(core._gateway, both)
         await router.post(x_expires_in="200m")
         assert next(e.status for e in seen.of(AttemptEnded)) is Status.NOT_SENT
-    assert sum(len(engine.calls) for engine in engines) == 1
+    assert sum(len(engine.received_requests) for engine in engines) == 1
 
 
 @trio_test
 async def test_probes_bring_load_and_a_stranger_is_not_probed() -> None:
-    async def load(call: Call) -> None:
+    async def load(call: ReceivedRequest) -> None:
         assert call.head.target == b"/metrics/load"
         await call.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
 
-    async with running_router(Engine(load), limits={"probes": True}) as router:
+    async with running_router(ScriptedServer(load), limits={"probes": True}) as router:
         core = router.program.core
         seen = Recorder(core._gateway, lambda events: [])
         core._decide([])
@@ -162,18 +162,18 @@
 
 @trio_test
 async def test_an_engine_that_talks_nonsense_ends_its_attempt_only() -> None:
-    async def nonsense(call: Call) -> None:
+    async def nonsense(call: ReceivedRequest) -> None:
         await call.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
 
-    engine = Engine()
+    engine = ScriptedServer()
     engine.scripts = [nonsense]
-    async with running_router(engine, Engine()) as router:
+    async with running_router(engine, ScriptedServer()) as router:
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
 @trio_test
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         router.program.budget.most[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
@@ -186,14 +186,14 @@
     """An engine holds only so many connections, and all routers' idle ones count."""
     out, all_out = [], trio.Event()
 
-    async def together(call: Call) -> None:
+    async def together(call: ReceivedRequest) -> None:
         out.append(call)
         if len(out) == 8:
             all_out.set()
         await all_out.wait()
         await serve_well(call)
 
-    async with running_router(Engine(together), balancers=200) as router:
+    async with running_router(ScriptedServer(together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
             for k in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
@@ -232,7 +232,7 @@
 
 @trio_test
 async def test_a_connection_at_rest_holds_no_buffers() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.start_post()
         while not isinstance(await wire.next(), h11.EndOfMessage):
             pass
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import Call, Engine, running_router, trio_test
+from peers import ReceivedRequest, ScriptedServer, running_router, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.interface import Status
@@ -80,7 +80,7 @@
     async def fail(self: ClientConnection, request: Any) -> None:
         raise ValueError("a mistake")
 
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         with monkeypatch.context() as patch:
             patch.setattr(ClientConnection, "call", fail)
             wire = await router.connect()
@@ -93,11 +93,11 @@
 
 @trio_test
 async def test_neither_a_broken_stream_nor_a_client_that_left_counts_as_a_close_of_ours() -> None:
-    async def break_off(call: Call) -> None:
+    async def break_off(call: ReceivedRequest) -> None:
         await call.start(b"data: 1\n\n")
         await call.wire.stream.aclose()
 
-    async with running_router(Engine(break_off)) as router:
+    async with running_router(ScriptedServer(break_off)) as router:
         assert not (await router.post()).whole
         wire = await router.start_post(x_trace_id="left")
         await wire.stream.aclose()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Discovery, Engine, running_router, trio_test
+from peers import EVENTS, SETTINGS, Discovery, ReceivedRequest, ScriptedServer, running_router, trio_test
 
 from sorreldock.program import syslog
 from sorreldock.program.config import ConfigError, Operator, load, operator_from
@@ -167,7 +167,7 @@
 
 @trio_test
 async def test_the_program_starts_on_a_tree_it_cannot_write_and_ends_at_sigterm(tmp_path: Path) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     async with engine.open(), discovery.open():
         env = written(tmp_path, discovery=discovery.address, known=discovery.listing())
@@ -205,7 +205,7 @@
 
 @trio_test
 async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     first, second = Discovery(engine), Discovery(engine)
     async with engine.open(), first.open(), second.open():
         env = written(tmp_path, discovery=first.address, known=first.listing())
@@ -267,13 +267,13 @@
 async def test_open_rpcs_and_subchannels_outlive_a_move_of_the_watch() -> None:
     more = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
         await call.more(*EVENTS[1:])
         await call.end()
 
-    engine = Engine(slowly)
+    engine = ScriptedServer(slowly)
     first, second = Discovery(engine), Discovery(engine)
     async with second.open(), running_router(engine, discovery=first) as router:
         await first.watching.wait()
@@ -291,7 +291,7 @@
 async def test_a_fault_in_the_module_fails_its_rpcs_and_spares_the_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         assert (await router.post()).status == 200
         gateway = router.program.core._gateway
         with monkeypatch.context() as patch:
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -11,7 +11,7 @@
 import trio.testing
 from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
 from grpc_peers import request as grpc_request
-from peers import Call, Discovery, Engine, running_router, serve_until, trio_test
+from peers import Discovery, ReceivedRequest, ScriptedServer, running_router, serve_until, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.kserve.framing import Code
@@ -36,12 +36,12 @@
 async def test_a_client_that_leaves_behind_more_than_is_kept_ahead_is_seen() -> None:
     taken, left = trio.Event(), trio.Event()
 
-    async def hold(call: Call) -> None:
+    async def hold(call: ReceivedRequest) -> None:
         taken.set()
         await call.left()
         left.set()
 
-    engine = Engine(hold)
+    engine = ScriptedServer(hold)
     async with running_router(engine) as router:
         wire = await router.start_post()
         await taken.wait()
@@ -49,7 +49,7 @@
         await wire.stream.aclose()
         with trio.fail_after(1.0):
             await left.wait()
-    assert len(engine.calls) == 1 and router.program.payloads.used == 0
+    assert len(engine.received_requests) == 1 and router.program.payloads.used == 0
 
 
 @trio_test
@@ -70,7 +70,7 @@
 
 @trio_test
 async def test_of_too_many_requests_ahead_the_kept_ones_are_served_and_the_next_is_refused() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     engine.scripts.append(serve_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -83,13 +83,13 @@
         said = await all_of(wire.stream)
     assert said.count(LAST_CHUNK) == 2 and said.count(b"HTTP/1.1 503") == 1
     assert b"connection: close" in said[said.index(b"HTTP/1.1 503") :]
-    assert [call.headers["x-trace-id"] for call in engine.calls] == ["t0", "t1"]
+    assert [call.headers["x-trace-id"] for call in engine.received_requests] == ["t0", "t1"]
     assert router.program.payloads.used == 0
 
 
 @trio_test
 async def test_the_clock_of_a_request_sent_ahead_runs_from_its_own_bytes() -> None:
-    finish, engine = trio.Event(), Engine()
+    finish, engine = trio.Event(), ScriptedServer()
     engine.scripts.append(serve_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -100,7 +100,7 @@
         said = b""
         while said.count(LAST_CHUNK) < 3:
             said += await wire.stream.receive_some(65536)
-    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.calls]
+    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.received_requests]
     assert told[1] < 1.4 and told[1] < told[2] - 0.25
 
 
@@ -209,7 +209,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(program_serve, "CONNECTIONS_END_S", 0.0)
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
@@ -223,7 +223,7 @@
         assert router.program.lifecycle.phase is Phase.DRAINING
         await wire.stream.send_all(sent[-4:])
         assert LAST_CHUNK in await all_of(wire.stream)
-    assert len(engine.calls) == 1
+    assert len(engine.received_requests) == 1
 
 
 @trio_test
@@ -245,7 +245,7 @@
     late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(program_serve, "LAST_TAKEN_S", 0.0 if late else 60.0)
-    engine = Engine()
+    engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
@@ -259,7 +259,7 @@
         said = await all_of(wire.stream)
         assert said.startswith(b"HTTP/1.1 503" if late else b"HTTP/1.1 200")
         assert b"connection: close" in said
-    assert len(engine.calls) == (not late)
+    assert len(engine.received_requests) == (not late)
 
 
 @trio_test
@@ -275,7 +275,7 @@
 
 @trio_test
 async def test_a_drain_does_not_reset_an_answer_behind_which_bytes_still_come() -> None:
-    async with running_router(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_qos=b"nothing", length=b"999"))
         front = router.program.fronts["http"]
@@ -346,7 +346,7 @@
 
 @trio_test
 async def test_an_older_change_does_not_bring_back_a_server_that_drains() -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -42,14 +42,14 @@
 Story = Callable[[Network], Awaitable[None]]
 
 
-def told(weather: Weather, trio_test: Story, seed: int = 1) -> list[str]:
+def told(weather: Weather, story: Story, seed: int = 1) -> list[str]:
     """Run a story between machines of a network; what was recorded."""
     import random
 
     lines: list[str] = []
     network = Network(random.Random(seed), weather, lines.append)
     with seeded(seed):
-        trio.run(trio_test, network, clock=world_clock(network.next_at, network.advance))
+        trio.run(story, network, clock=world_clock(network.next_at, network.advance))
     return lines
 
 
@@ -66,7 +66,7 @@
 
 
 def test_bytes_arrive_whole_in_order_and_after_the_delay_however_they_are_cut() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         one, other = await pair(network)
         since, data, got = trio.current_time(), bytes(range(256)) * 40, b""
         async with trio.open_nursery() as nursery:
@@ -76,22 +76,22 @@
         assert got == data and trio.current_time() - since >= 0.05
 
     for seed in range(5):
-        told(Weather(delay_s=0.05, jitter_s=0.1, loss=0.1, pieces=0.5, buffer=512), trio_test, seed)
+        told(Weather(delay_s=0.05, jitter_s=0.1, loss=0.1, pieces=0.5, buffer=512), story, seed)
 
 
 def test_a_writer_waits_for_a_reader_that_does_not_read() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         one, _ = await pair(network)
         with trio.move_on_after(30.0) as scope:
             await one.send_all(b"x" * 5000)
         assert scope.cancelled_caught and one.outbox is not None and one.outbox.sent == 4096
         assert one.outbox.was_full(1.0, 2.0)
 
-    told(Weather(buffer=4096), trio_test)
+    told(Weather(buffer=4096), story)
 
 
 def test_a_close_with_unread_bytes_is_a_reset_and_one_without_is_an_end() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         one, other = await pair(network)
         other.close()
         assert await one.recv() == b""
@@ -108,12 +108,12 @@
         with pytest.raises(ConnectionResetError):
             await one.recv()
 
-    told(Weather(), trio_test)
+    told(Weather(), story)
     told(Weather(), unread)
 
 
 def test_what_a_partition_holds_arrives_once_it_is_healed_and_one_way_is_one_way() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         one, other = await pair(network)
         network.cut("c1", "r0")
         await one.send_all(b"held")
@@ -125,11 +125,11 @@
         network.heal("c1", "r0")
         assert await other.recv() == b"held"
 
-    told(Weather(), trio_test)
+    told(Weather(), story)
 
 
 def test_connects_are_refused_never_answered_or_taken_up_once_the_machine_hears() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         here, there = network.host("c1", "127.0.0.1"), network.host("r0", "127.0.0.2")
         with pytest.raises(OSError, match="refused"):
             await here.socket().connect(("127.0.0.2", 80))
@@ -143,11 +143,11 @@
             await here.socket().connect(("127.0.0.2", 80))
         assert scope.cancelled_caught
 
-    told(Weather(), trio_test)
+    told(Weather(), story)
 
 
 def test_a_vanished_machine_says_nothing_and_one_that_came_back_knows_no_connection() -> None:
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         one, other = await pair(network)
         other.host.vanish()
         await one.send_all(b"into the void")
@@ -159,7 +159,7 @@
         with pytest.raises(ConnectionResetError):
             await one.recv()
 
-    told(Weather(), trio_test)
+    told(Weather(), story)
 
 
 def test_readers_cut_messages_at_any_byte_and_name_their_offsets() -> None:
@@ -227,7 +227,7 @@
 def judged(act: Callable[[Wires], Awaitable[None]]) -> list[str]:
     rules: list[str] = []
 
-    async def trio_test(network: Network) -> None:
+    async def story(network: Network) -> None:
         wires = Wires(network)
         await wires.open()
         await act(wires)
@@ -235,7 +235,7 @@
         wires.judge.conclude()
         rules.extend(v.rule for v in wires.judge.violations)
 
-    told(Weather(), trio_test)
+    told(Weather(), story)
     return rules
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,7 @@
 import h11
 import pytest
 import trio
-from peers import FIELDS, Discovery, Engine, Wire, answer, request, serve_until, trio_test
+from peers import FIELDS, Discovery, HttpConnection, ScriptedServer, answer, request, serve_until, trio_test
 from test_program import ROOT, until, written
 
 from sorreldock.interface import ListKind, ReplicaState
@@ -36,7 +36,7 @@
     address: str
     environment: dict[str, str]
     held: socket.socket
-    engine: Engine
+    engine: ScriptedServer
     processes: list[Any] = field(default_factory=list)
 
     async def start(self, ready: bytes = b" serving") -> tuple[Any, bytes]:
@@ -50,14 +50,14 @@
         self.processes.append(process)
         return process, await until(process, b"", ready)
 
-    async def connect(self) -> Wire:
+    async def connect(self) -> HttpConnection:
         host, port = self.address.rsplit(":", 1)
-        return Wire(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
+        return HttpConnection(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
 
 
 @asynccontextmanager
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     with socket.create_server(("127.0.0.1", 0)) as held:
         address = f"127.0.0.1:{held.getsockname()[1]}"
@@ -84,7 +84,7 @@
     return [request("POST", POST, b"", {**FIELDS, "x_trace_id": name}), h11.EndOfMessage()]
 
 
-async def served(wire: Wire, name: str) -> None:
+async def served(wire: HttpConnection, name: str) -> None:
     await wire.send(*ask(name))
     assert (await answer(wire)).whole
 
