--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -173,7 +173,7 @@
                     on_request(stream)
 
 
-async def serve_well(call: Stream) -> None:
+async def answer_in_full(call: Stream) -> None:
     await call.start()
     await call.send(piece(1), piece(2))
     await call.finish(0)
@@ -182,7 +182,7 @@
 class SharedEngine(ScriptedServer):
     """Both protocols on one port, told apart by HTTP/2's preface."""
 
-    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
         self.grpc_script = grpc_script
         self.grpc_scripts: list[Callable[[Stream], Awaitable[None]]] = []
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -115,36 +115,36 @@
         head = h11.Response(status_code=200, headers=[("content-type", "text/event-stream")])
         await self.wire.send(head, *(h11.Data(data=e) for e in events))
 
-    async def more(self, *events: bytes) -> None:
+    async def send_events(self, *events: bytes) -> None:
         await self.wire.send(*(h11.Data(data=e) for e in events))
 
     async def end(self) -> None:
         await self.wire.send(h11.EndOfMessage())
 
-    async def left(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the router has closed this connection."""
         while await self.wire.stream.receive_some(65536):
             pass
 
 
-async def serve_well(call: ReceivedRequest) -> None:
+async def answer_in_full(call: ReceivedRequest) -> None:
     await call.start(*EVENTS)
     await call.end()
 
 
-def serve_until(finish: trio.Event) -> Callable[[ReceivedRequest], Awaitable[None]]:
+def stream_until(finish: trio.Event) -> Callable[[ReceivedRequest], Awaitable[None]]:
     """A script whose answers begin at once, and end when they are told."""
 
     async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await finish.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
     return slowly
 
 
-class Unsignalled(Machine):
+class MachineWithoutSignals(Machine):
     """For programs in one process with others and with the tests: of two that took its signals, the one that
     ends last would put the handlers of the other one back. Stories of signals start processes.
     """
@@ -182,7 +182,7 @@
 class ScriptedServer(Peer):
     """An engine that follows a script for each request; `scripts` are used up first, one a request."""
 
-    def __init__(self, script: Callable[[ReceivedRequest], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, script: Callable[[ReceivedRequest], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
         self.script = script
         self.scripts: list[Callable[[ReceivedRequest], Awaitable[None]]] = []
@@ -213,13 +213,13 @@
         super().__init__()
         self.engines = engines
         self.rev = 1
-        self.refuse = 0
+        self.watches_to_refuse = 0
         self.watches = 0
         self.states: dict[str, str] = {}
         self.changed = trio.Event()
         self.watching = trio.Event()
-        self.nonsense: list[bytes] = []  # lines that come first, one a watch
-        self.others: list[str] = []  # addresses of engines that are only listed
+        self.malformed_lines: list[bytes] = []  # lines that come first, one a watch
+        self.extra_addresses: list[str] = []  # addresses of engines that are only listed
         self.indent: int | None = None
 
     def targets(self) -> list[dict[str, Any]]:
@@ -234,13 +234,13 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for i, e in enumerate([e.address for e in self.engines] + self.others)
+            for i, e in enumerate([e.address for e in self.engines] + self.extra_addresses)
         ]
 
     def listing(self) -> dict[str, Any]:
         return {"rev": self.rev, "all": True, "targets": self.targets()}
 
-    def tell(self, **states: str) -> None:
+    def push_states(self, **states: str) -> None:
         self.states.update(states)
         self.rev += 1
         self.changed.set()
@@ -250,12 +250,12 @@
         wire = HttpConnection(stream, h11.SERVER)
         await wire.message()
         self.watches += 1
-        if self.watches <= self.refuse:
+        if self.watches <= self.watches_to_refuse:
             await ReceivedRequest(wire, None, b"").answer(503)  # type: ignore[arg-type]
             return
         await wire.send(h11.Response(status_code=200, headers=[]))
-        if self.nonsense:
-            await wire.send(h11.Data(data=self.nonsense.pop(0) + b"\n"))
+        if self.malformed_lines:
+            await wire.send(h11.Data(data=self.malformed_lines.pop(0) + b"\n"))
             await until_left(stream)
             return
         while True:
@@ -301,7 +301,7 @@
         wire = await self.connect()
         async with wire.stream:
             await wire.send(request(method, target, body, headers), h11.Data(data=body), h11.EndOfMessage())
-            return await answer(wire)
+            return await read_answer(wire)
 
     async def post(self, body: bytes = b"{}", **headers: str | None) -> Answer:
         return await self.ask("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
@@ -317,9 +317,9 @@
         return wire
 
 
-async def streaming(router: Router, engine: ScriptedServer, finish: trio.Event) -> HttpConnection:
+async def start_streaming(router: Router, engine: ScriptedServer, finish: trio.Event) -> HttpConnection:
     """A request whose answer has begun, and ends when it is told."""
-    engine.scripts.append(serve_until(finish))
+    engine.scripts.append(stream_until(finish))
     wire = await router.start_post(x_trace_id="taken")
     await wire.next()
     return wire
@@ -344,7 +344,7 @@
     )
 
 
-async def answer(wire: HttpConnection) -> Answer:
+async def read_answer(wire: HttpConnection) -> Answer:
     head = await wire.next()
     body, whole = b"", False
     try:
@@ -372,7 +372,7 @@
     raw["policy_limits"] = {**SETTINGS["policy_limits"], **settings.get("limits", {})}
     async with trio.open_nursery() as peers:
         for peer in (*engines, discovery):
-            await peers.start(_hold, peer)
+            await peers.start(_run_peer, peer)
         config = Config(
             "n1",
             "127.0.0.1:0",
@@ -385,7 +385,7 @@
             console=console,
         )
         async with trio.open_nursery() as nursery:
-            router = Router(Program(config, system=Unsignalled()), nursery)
+            router = Router(Program(config, system=MachineWithoutSignals()), nursery)
             nursery.start_soon(router.program.run)
             await router.program.serving.wait()
             yield router
@@ -395,7 +395,7 @@
         peers.cancel_scope.cancel()
 
 
-async def _hold(peer: Peer, task_status: trio.TaskStatus[None]) -> None:
+async def _run_peer(peer: Peer, task_status: trio.TaskStatus[None]) -> None:
     async with peer.open():
         task_status.started()
         await trio.sleep_forever()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,10 +13,10 @@
     HttpConnection,
     Router,
     ScriptedServer,
-    answer,
+    read_answer,
     running_router,
-    serve_until,
-    streaming,
+    start_streaming,
+    stream_until,
     trio_test,
 )
 from test_bad_days import raw
@@ -103,7 +103,7 @@
     finish, engine = trio.Event(), ScriptedServer()
     async with running_router(engine) as router:
         budget = router.program.budget
-        taken = await streaming(router, engine, finish)
+        taken = await start_streaming(router, engine, finish)
         budget.most[Use.CLIENT] = 12
         crowd_of = [await half_sent(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
@@ -113,7 +113,7 @@
         writer = await half_sent(router, raw()[:50])  # honest: it goes on, slowly
         while budget.used[Use.CLIENT] < 12:
             await trio.sleep(0.005)
-        engine.script, newcomers = serve_until(finish), []
+        engine.script, newcomers = stream_until(finish), []
         for number in range(9):  # each on a connection of its own, with a stream that goes on
             newcomers.append(await router.start_post(x_trace_id=f"new-{number}"))
             assert (await newcomers[-1].next()).status_code == 200
@@ -128,7 +128,7 @@
         assert closed >= 8
         await writer.stream.send_all(raw()[59:])
         finish.set()
-        assert (await answer(writer)).whole
+        assert (await read_answer(writer)).whole
         while type(event := await taken.next()).__name__ != "EndOfMessage":
             assert event.data in EVENTS
 
@@ -148,4 +148,4 @@
         assert await stopped.stream.receive_some(1) == b""
         fresh = await half_sent(router, head.replace(b"t1", b"t2") + b"\r\n\r\n" + b"x" * 59_000)
         await fresh.stream.send_all(b"x" * 1000)  # with room again, it is served
-        assert (await answer(fresh)).whole
+        assert (await read_answer(fresh)).whole
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, running_router, serve_well, trio_test
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
@@ -24,7 +24,7 @@
     spoil, engine = trio.Event(), ScriptedServer()
 
     async def twice(call: ReceivedRequest) -> None:
-        await serve_well(call)
+        await answer_in_full(call)
         await spoil.wait()
         await call.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -127,7 +127,7 @@
     async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await go_on.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
     engine = ScriptedServer(slowly)
@@ -165,12 +165,12 @@
 
 async def noise(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
-    await call.left()
+    await call.wait_closed()
 
 
 async def endless_head(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
-    await call.left()
+    await call.wait_closed()
 
 
 async def endless_chunk(call: ReceivedRequest) -> None:
@@ -181,17 +181,17 @@
 
 async def noise_for_events(call: ReceivedRequest) -> None:
     await call.start(b"\xff\x00noise\n\n" + EVENTS[0])
-    await call.left()
+    await call.wait_closed()
 
 
 async def wrong_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
-    await call.left()
+    await call.wait_closed()
 
 
 async def no_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
-    await call.left()
+    await call.wait_closed()
 
 
 SPOILT = [noise, endless_head, endless_chunk, noise_for_events, wrong_size, no_size]
@@ -254,7 +254,7 @@
         load = b"Endpoint-Load-Metrics: TEXT \xff\xfe=, queue=-4, errors_per_s=1e99\r\n\r\n"
         other = CHUNKED + b"b\r\ndata: not\n\n\r\n0\r\n\r\n"
         await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
-        await call.left()
+        await call.wait_closed()
 
     engine = ScriptedServer(more_than_asked)
     async with running_router(engine) as router:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -32,7 +32,7 @@
 )
 from grpc_peers import SharedEngine
 from grpc_peers import Stream as GrpcStream
-from peers import ReceivedRequest, serve_well
+from peers import ReceivedRequest, answer_in_full
 
 import sorreldock.client
 from sorreldock.client import (
@@ -141,7 +141,7 @@
         await call.wire.stream.aclose()
 
     engine = SharedEngine()
-    engine.scripts = [cut, serve_well, cut, cut]
+    engine.scripts = [cut, answer_in_full, cut, cut]
     with hosted(router(engine, family_info={"resume": True})) as real:
         async with Client([real.address], ClientSettings(resume=True)) as client:
             async with client.stream(ASK, timeout_s=4.0) as answer:
@@ -164,7 +164,7 @@
         if not waiting:
             await call.start(b"data: 1\n\n")
         came.set()
-        await call.left()
+        await call.wait_closed()
         left.set()
 
     async def hang_grpc(call: GrpcStream) -> None:
@@ -197,7 +197,7 @@
 async def test_a_client_closed_with_calls_open_says_so() -> None:
     async def hang(call: ReceivedRequest) -> None:
         await call.start(b"data: 1\n\n")
-        await call.left()
+        await call.wait_closed()
 
     engine = SharedEngine()
     engine.script = hang  # type: ignore[assignment]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -106,7 +106,7 @@
         wires = await burst(router, 30, b"5000m")
         while len(core.open) < 30:
             await trio.sleep(0.001)
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         last = core._mailbox._requests[-1].request
         await wires.pop(int(last[1:].partition(".")[0])).stream.aclose()
         for wire in wires:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -21,7 +21,7 @@
     ReceivedRequest,
     ScriptedServer,
     running_router,
-    serve_until,
+    stream_until,
     trio_test,
 )
 from test_bad_days import raw
@@ -51,7 +51,7 @@
 
 
 async def hang(call: ReceivedRequest) -> None:
-    await call.left()
+    await call.wait_closed()
 
 
 async def begin_and_reset(call: ReceivedRequest) -> None:
@@ -105,7 +105,7 @@
     async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
-        await call.more(EVENTS[1])
+        await call.send_events(EVENTS[1])
         await call.end()
 
     async with running_router(ScriptedServer(slowly)) as router:
@@ -145,7 +145,7 @@
     async def late(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await trio.sleep(0.3)  # longer than the deadline that no longer runs
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
     async with running_router(ScriptedServer(late)) as router:
@@ -162,7 +162,7 @@
 
     async def until_left(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
-        await call.left()
+        await call.wait_closed()
         left.set()
 
     async with running_router(ScriptedServer(until_left)) as router:
@@ -178,7 +178,7 @@
 
     async def silent(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
-        await call.left()
+        await call.wait_closed()
 
     async with running_router(ScriptedServer(silent)) as router:
         got = await router.post()
@@ -222,7 +222,7 @@
     discovery = Discovery(first, second)
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         while router.program.core.can_serve() and all(
             s.ready for s in router.program.core.subchannels.values()
         ):
@@ -258,7 +258,7 @@
                 while not any(entry.out for entry in core.open.values()):
                     await trio.sleep(0.005)
                 discovery.engines = (hung, good)
-                discovery.tell(e0="Terminating")
+                discovery.push_states(e0="Terminating")
     assert len(good.received_requests) == 1
 
 
@@ -298,7 +298,7 @@
 
     async def hold(call: ReceivedRequest) -> None:
         taken.set()
-        await call.left()
+        await call.wait_closed()
         held.set()
 
     engine = ScriptedServer(hold)
@@ -315,7 +315,7 @@
 @trio_test
 async def test_commands_sent_at_once_are_answered_in_turn_and_their_clocks_run_meanwhile() -> None:
     first, engine = trio.Event(), ScriptedServer()
-    engine.scripts.append(serve_until(first))
+    engine.scripts.append(stream_until(first))
     async with running_router(engine) as router:
         wire = await router.connect()
         sent = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
@@ -332,7 +332,7 @@
 @trio_test
 async def test_what_was_sent_ahead_is_answered_by_a_router_that_was_told_to_stop() -> None:
     finish, engine = trio.Event(), ScriptedServer()
-    engine.scripts.append(serve_until(finish))
+    engine.scripts.append(stream_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"taken"))
@@ -377,7 +377,7 @@
 @trio_test
 async def test_a_body_is_let_go_once_its_answer_streams() -> None:
     finish, engine = trio.Event(), ScriptedServer()
-    engine.script = serve_until(finish)
+    engine.script = stream_until(finish)
     body, count = b"x" * 250_000, 12
     async with running_router(engine) as router:
         gc.collect()
@@ -407,7 +407,7 @@
     monkeypatch.setattr(freshness, "SIGN_S", 0.1)
     engine = ScriptedServer()
     discovery = Discovery(engine)
-    discovery.refuse = 1
+    discovery.watches_to_refuse = 1
     async with running_router(engine, discovery=discovery):
         while discovery.watches < 3:  # the first is refused, the second stalls
             await trio.sleep(0.01)
@@ -418,7 +418,7 @@
     engine = ScriptedServer()
     discovery = Discovery(engine)
     entry = b'{"rev":2,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","az":"a","state":"Ready",%b}]}'
-    discovery.nonsense = [
+    discovery.malformed_lines = [
         b"[" * 100_000,
         b"\xff",
         entry % b'"capacity_hint":NaN',
@@ -438,7 +438,7 @@
     engine = ScriptedServer()
     discovery = Discovery(engine)
     discovery.indent = 4
-    discovery.nonsense = [b'{"rev": 2,\n "targets": [{\n', b"{\n}]"]  # cut off; closed twice
+    discovery.malformed_lines = [b'{"rev": 2,\n "targets": [{\n', b"{\n}]"]  # cut off; closed twice
     contract = {**SETTINGS["contract"], "must_ask_in_s": 0.2}
     if how == "push":
         del contract["must_ask_in_s"]
@@ -447,12 +447,12 @@
     ) as router:
         await discovery.watching.wait()
         assert discovery.watches == 3
-        discovery.others = [f"127.0.0.1:{1 + n}" for n in range(1023)]
-        discovery.tell(e7="Gone")
+        discovery.extra_addresses = [f"127.0.0.1:{1 + n}" for n in range(1023)]
+        discovery.push_states(e7="Gone")
         while len(router.program.core.subchannels) < 1023:
             await trio.sleep(0.01)
-        discovery.others = []
-        discovery.tell()
+        discovery.extra_addresses = []
+        discovery.push_states()
         while len(router.program.core.subchannels) > 1:
             await trio.sleep(0.01)
         assert (await router.post()).whole
@@ -506,7 +506,7 @@
         nonlocal sent
         await call.start()
         for _ in range(400):
-            await call.more(chunk)
+            await call.send_events(chunk)
             sent += 1
         await call.end()
 
@@ -524,7 +524,7 @@
 @trio_test
 async def test_sigterm_answers_all_that_was_taken_and_ends() -> None:
     finish = trio.Event()
-    slowly = serve_until(finish)
+    slowly = stream_until(finish)
     async with running_router(ScriptedServer(slowly)) as router:
         idle = await router.connect()
         wire = await router.start_post()
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, METADATA, SharedEngine, Stream, grpc_client, piece, request, serve_well
+from grpc_peers import BOTH, METADATA, SharedEngine, Stream, answer_in_full, grpc_client, piece, request
 from hyperframe.frame import GoAwayFrame
 from peers import running_router, trio_test
 
@@ -194,7 +194,7 @@
         await call.until(lambda: call.end.closed)
         while router.program.core.open:
             await trio.sleep(0.005)
-        engine.grpc_script = serve_well
+        engine.grpc_script = answer_in_full
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
 
 
@@ -235,7 +235,7 @@
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
         assert 0 < sent < 20  # a window or two, and the buffers between
-        engine.grpc_script = serve_well
+        engine.grpc_script = answer_in_full
         async with grpc_client(router) as other:
             assert (await other.call("ModelInfer", request()))[0] == 0
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -12,10 +12,10 @@
     FIELDS,
     Router,
     ScriptedServer,
-    answer,
+    read_answer,
     request,
     running_router,
-    streaming,
+    start_streaming,
     trio_test,
 )
 
@@ -48,7 +48,7 @@
         assert await call(router, "ready") == "ok serving\n" == await call(router, "resume")
         assert (await router.ask("GET", "/up")).status == 200
         idle = await router.connect()
-        taken = await streaming(router, engine, finish)
+        taken = await start_streaming(router, engine, finish)
         assert [await call(router, word) for word in ("drain", "ready", "drain")] == [
             "ok draining\n",
             "fail drained\n",
@@ -74,7 +74,7 @@
         for name in ("one", "two"):  # connections are kept again
             head = request("POST", "/v1/chat/completions", b"", {**FIELDS, "x_trace_id": name})
             await wire.send(head, h11.EndOfMessage())
-            assert (await answer(wire)).whole
+            assert (await read_answer(wire)).whole
             wire.parser.start_next_cycle()
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, running_router, serve_well, trio_test
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
 from sorreldock.kserve.framing import Farewell, Farewells
@@ -94,7 +94,7 @@
         usage = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}\n\n'
         tail = usage + b"data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT errors_per_s=1.5, backlog=4\n\n"
         for at in range(0, len(tail), 7):  # cut anywhere
-            await call.more(tail[at : at + 7])
+            await call.send_events(tail[at : at + 7])
         await call.end()
 
     async with running_router(ScriptedServer(report)) as router:
@@ -123,7 +123,7 @@
 @trio_test
 async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
     async def hang(call: ReceivedRequest) -> None:
-        await call.left()
+        await call.wait_closed()
 
     engines = [ScriptedServer(hang), ScriptedServer(hang)]
     async with running_router(*engines) as router:
@@ -191,7 +191,7 @@
         if len(out) == 8:
             all_out.set()
         await all_out.wait()
-        await serve_well(call)
+        await answer_in_full(call)
 
     async with running_router(ScriptedServer(together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -270,7 +270,7 @@
     async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
     engine = ScriptedServer(slowly)
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -11,7 +11,7 @@
 import trio.testing
 from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
 from grpc_peers import request as grpc_request
-from peers import Discovery, ReceivedRequest, ScriptedServer, running_router, serve_until, trio_test
+from peers import Discovery, ReceivedRequest, ScriptedServer, running_router, stream_until, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.kserve.framing import Code
@@ -38,7 +38,7 @@
 
     async def hold(call: ReceivedRequest) -> None:
         taken.set()
-        await call.left()
+        await call.wait_closed()
         left.set()
 
     engine = ScriptedServer(hold)
@@ -71,7 +71,7 @@
 @trio_test
 async def test_of_too_many_requests_ahead_the_kept_ones_are_served_and_the_next_is_refused() -> None:
     finish, engine = trio.Event(), ScriptedServer()
-    engine.scripts.append(serve_until(finish))
+    engine.scripts.append(stream_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"t0"))
@@ -90,7 +90,7 @@
 @trio_test
 async def test_the_clock_of_a_request_sent_ahead_runs_from_its_own_bytes() -> None:
     finish, engine = trio.Event(), ScriptedServer()
-    engine.scripts.append(serve_until(finish))
+    engine.scripts.append(stream_until(finish))
     async with running_router(engine) as router:
         wire = await router.connect()
         for trace in (b"t0", b"t1", b"t2"):  # each is read before the next is sent
@@ -351,7 +351,7 @@
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         subchannels = router.program.core.subchannels
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         while all(s.ready for s in subchannels.values()):
             await trio.sleep(0.005)
         known = router.program.resolver.version
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,16 @@
 import h11
 import pytest
 import trio
-from peers import FIELDS, Discovery, HttpConnection, ScriptedServer, answer, request, serve_until, trio_test
+from peers import (
+    FIELDS,
+    Discovery,
+    HttpConnection,
+    ScriptedServer,
+    read_answer,
+    request,
+    stream_until,
+    trio_test,
+)
 from test_program import ROOT, until, written
 
 from sorreldock.interface import ListKind, ReplicaState
@@ -86,7 +95,7 @@
 
 async def served(wire: HttpConnection, name: str) -> None:
     await wire.send(*ask(name))
-    assert (await answer(wire)).whole
+    assert (await read_answer(wire)).whole
 
 
 @trio_test
@@ -94,7 +103,7 @@
     tmp_path: Path,
 ) -> None:
     finish = trio.Event()
-    slowly = serve_until(finish)
+    slowly = stream_until(finish)
     async with site(tmp_path) as here:
         first, _ = await here.start()
         idle, busy, half, unread = [await here.connect() for _ in range(4)]
@@ -115,7 +124,7 @@
         half.parser = h11.Connection(h11.CLIENT)
         await half.stream.send_all((half.parser.send(head) or b"")[40:])
         await half.send(h11.EndOfMessage())
-        got = await answer(half)
+        got = await read_answer(half)
         assert got.whole and "connection" not in got.headers
         await served(unread, "unread")
         assert await first.wait() == 0
