--- a/sorreldock/lab/simulation/invariants.py
+++ b/sorreldock/lab/simulation/invariants.py
@@ -107,7 +107,7 @@
         self.told: dict[tuple[str, str], float | None] = {}  # when (router, endpoint) was told to end
         self.uids: dict[tuple[str, str], str] = {}
         self.lives: dict[str, int] = {}  # how often each router has started
-        self.stop_asked: dict[tuple[str, int], float] = {}
+        self.stop_requested: dict[tuple[str, int], float] = {}
         self.killed: dict[tuple[str, int], float] = {}
         self.max_attempts = 2
         network.on_open, network.on_refused = self._opened, self._refused
@@ -126,7 +126,7 @@
     def _refused(self, src: Host, dst: Host) -> None:
         """Nobody listens there. A router told to stop takes newcomers for a while."""
         life = (dst.name, self.lives.get(dst.name, 0))
-        stop = self.stop_asked.get(life)
+        stop = self.stop_requested.get(life)
         if stop is not None and life not in self.killed:
             since = trio.current_time() - stop
             if since < TAKEN_AFTER_STOP_S - CROSSING_S:
@@ -212,7 +212,7 @@
         if min(gone, killed) <= rpc.deadline or blocked:
             return
         if tap.closed_at is not None and tap.incoming.read < rpc.end:
-            stop = self.stop_asked.get(tap.life, float("inf"))
+            stop = self.stop_requested.get(tap.life, float("inf"))
             crossed = rpc.arrived_at >= stop + TAKEN_AFTER_STOP_S - CROSSING_S
             if not rpc.newcomer or crossed:
                 return
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -91,7 +91,7 @@
             scenario.sockets,
             settings,
             decode_result(known, ListKind.CACHED),
-            Operator(kserve=kserve, engine_protocols=("http", "kserve")),
+            Operator(kserve=kserve, server_protocols=("http", "kserve")),
             scenario.memory_mb,
         )
 
@@ -125,7 +125,7 @@
         return self.name, self.world.judge.lives.get(self.name, 0)
 
     def stop(self) -> None:
-        self.world.judge.stop_asked.setdefault(self.life(), trio.current_time())
+        self.world.judge.stop_requested.setdefault(self.life(), trio.current_time())
         self.system.deliver(signal.SIGTERM)
 
     def kill(self) -> None:
--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -40,9 +40,9 @@
 
     http: bool = True
     kserve: Kserve | None = None
-    engine_protocols: tuple[str, ...] = ("http",)
+    server_protocols: tuple[str, ...] = ("http",)
     collector: str = ""
-    least_severity: str = "info"
+    min_severity: str = "info"
 
 
 @dataclass(frozen=True, slots=True)
--- a/sorreldock/program/phases.py
+++ b/sorreldock/program/phases.py
@@ -34,7 +34,7 @@
 
     def __init__(self, on_change: Callable[[Phase], None]) -> None:
         self.phase = Phase.STARTING
-        self.stop_asked = trio.Event()
+        self.stop_requested = trio.Event()
         self._on_change = on_change
 
     def enter(self, phase: Phase) -> None:
@@ -45,7 +45,7 @@
 
     @property
     def stopping(self) -> bool:
-        return self.stop_asked.is_set() or self.phase in (Phase.LINGERING, Phase.DRAINING, Phase.STOPPED)
+        return self.stop_requested.is_set() or self.phase in (Phase.LINGERING, Phase.DRAINING, Phase.STOPPED)
 
     @property
     def takes_work(self) -> bool:
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -74,7 +74,7 @@
         self._dial = dialler(system)
         self._read_again = read_again
         operator = config.operator
-        self.syslog = Syslog(config.name, operator.collector, operator.least_severity, system=system)
+        self.syslog = Syslog(config.name, operator.collector, operator.min_severity, system=system)
         self.log = self.syslog.log
         self.lifecycle = Lifecycle(lambda phase: self.log("notice", "PHASE", phase.value))
         self.console: Console | None = None
@@ -93,7 +93,7 @@
     def _connect(self, endpoint: str) -> dict[str, EngineClient]:
         limits = self.config.settings.limits
         clients: dict[str, EngineClient] = {}
-        if "http" in self.config.operator.engine_protocols:
+        if "http" in self.config.operator.server_protocols:
             probe_path = "/metrics/load" if self.config.settings.metrics else "/alive"
             clients["http"] = HttpEngineClient(
                 endpoint,
@@ -104,7 +104,7 @@
                 self._dial,
                 max(ENGINE_HOLDS // self.config.settings.gateways, LEAST_IDLE),
             )
-        if "kserve" in self.config.operator.engine_protocols:
+        if "kserve" in self.config.operator.server_protocols:
             # Only here: the platform's path has no use for the gRPC code and its memory.
             from ..protocol.kserve.client import KserveEngineClient
 
@@ -126,7 +126,7 @@
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.engine_protocols else "kserve"
+        probed_with = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
@@ -162,7 +162,7 @@
                 nursery.start_soon(listener.serve, nursery, self.fronts[protocol].handle)
             self.lifecycle.enter(Phase.SERVING)
             self.serving.set()
-            await self.lifecycle.stop_asked.wait()
+            await self.lifecycle.stop_requested.wait()
             self.calls.stop()
             for front in self.fronts.values():
                 front.refuse_from = trio.current_time() + LAST_TAKEN_S
@@ -257,7 +257,7 @@
                 if number == signal.SIGHUP:
                     self.reload()
                 else:
-                    self.lifecycle.stop_asked.set()
+                    self.lifecycle.stop_requested.set()
 
     def reload(self) -> None:
         """Read the configuration anew. Subchannels and open RPCs stay; so does all, if it can't be used."""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -381,7 +381,7 @@
             sockets,
             decode_settings(raw),
             decode_result(discovery.listing(), ListKind.CACHED),
-            operator or Operator(least_severity="emerg"),
+            operator or Operator(min_severity="emerg"),
             console=console,
         )
         async with trio.open_nursery() as nursery:
@@ -390,7 +390,7 @@
             await router.program.serving.wait()
             yield router
             router.program.linger_s = 0.0  # nobody comes any more
-            router.program.lifecycle.stop_asked.set()
+            router.program.lifecycle.stop_requested.set()
         assert router.program.lifecycle.phase is Phase.STOPPED
         peers.cancel_scope.cancel()
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -458,7 +458,7 @@
             async with anyio.create_task_group() as group:
                 for _ in range(2):
                     group.start_soon(client.ask, ASK, 4.0)
-            Host.token.run_sync_soon(real.program.lifecycle.stop_asked.set)
+            Host.token.run_sync_soon(real.program.lifecycle.stop_requested.set)
             while not client.stats().connections_lost:
                 await anyio.sleep(0.01)
             for _ in range(3):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -530,7 +530,7 @@
         wire = await router.start_post()
         await wire.next()
         program = router.program
-        program.lifecycle.stop_asked.set()
+        program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.005)
         assert (await router.ask("GET", "/up")).status == 503  # still accepting, but no longer for work
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -293,8 +293,8 @@
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH.__class__(
         kserve=BOTH.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
-        engine_protocols=("http", "kserve"),
-        least_severity="emerg",
+        server_protocols=("http", "kserve"),
+        min_severity="emerg",
     )
     async with running_router(SharedEngine(), operator=operator) as router:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
@@ -340,7 +340,7 @@
     async with running_router(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         assert client.end.going
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -87,7 +87,7 @@
         assert not any(front.closing for front in program.fronts.values())  # type: ignore[attr-defined]
         await call(router, "drain")
         program.linger_s = 0.2
-        program.lifecycle.stop_asked.set()
+        program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.002)
         for word in ("ready", "drain", "resume"):
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -216,7 +216,7 @@
         await wire.stream.send_all(sent[:-4])
         await trio.testing.wait_all_tasks_blocked(0.05)  # until it has been read
         router.program.linger_s = 0.0
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         await pass_by()
@@ -252,7 +252,7 @@
         await wire.stream.send_all(sent[:-4])
         await trio.testing.wait_all_tasks_blocked(0.05)
         router.program.linger_s = 0.0
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         await wire.stream.send_all(sent[-4:])
