--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -236,7 +236,7 @@
     program, life = router.program, router.life()
     if program is None or router.ended.is_set():
         return
-    if not program.calls.drain().startswith("ok"):  # it is told to stop already
+    if not program.operator_commands.drain().startswith("ok"):  # it is told to stop already
         return
     with trio.move_on_after(for_s):
         await trio.sleep(EMPTY_S)
@@ -251,7 +251,7 @@
                 text = f"{router.name} is drained and holds an idle connection: {held[0]!r}"
                 world.judge.violation("rest", text, router.name)
     if router.life() == life and not router.ended.is_set():
-        program.calls.resume()
+        program.operator_commands.resume()
 
 
 async def partition(world: World, fault: FaultPlan) -> None:
--- a/sorreldock/program/calls.py
+++ b/sorreldock/program/calls.py
@@ -14,7 +14,7 @@
 FRONT_LAG_S = 0.5
 
 
-class Calls:
+class OperatorCommands:
     """Answers operators' calls in each phase."""
 
     def __init__(
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -21,7 +21,7 @@
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
 from . import early_reload
-from .calls import Calls
+from .calls import OperatorCommands
 from .config import Config
 from .phases import Lifecycle, Phase
 from .syslog import Syslog
@@ -54,12 +54,12 @@
     return int(min(max(share, LEAST_PAYLOAD_MB), MOST_PAYLOAD_MB) * 1024 * 1024)
 
 
-def largest_list(memory_mb: int) -> int:
+def max_list_bytes(memory_mb: int) -> int:
     """Of its bytes, an entry takes some hundreds; indented, decoded and as subchannels it takes more."""
     return max(memory_mb // LIST_PART, 1) * 1024 * 1024
 
 
-def most_open(memory_mb: int) -> int:
+def max_open_rpcs(memory_mb: int) -> int:
     return max(memory_mb * OPEN_PER_MB, LEAST_OPEN)
 
 
@@ -122,7 +122,7 @@
             self.log,
             self._dial,
             not config.settings.must_ask_for_list,
-            largest_list(config.memory_mb),
+            max_list_bytes(config.memory_mb),
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
@@ -132,7 +132,7 @@
             config.seed,
             self._connect,
             self.log,
-            most_open(config.memory_mb),
+            max_open_rpcs(config.memory_mb),
             probed_with=probed_with,
             wall=self.system.wall,
         )
@@ -142,7 +142,7 @@
             self.addresses[protocol] = await listener.bind()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self.calls = Calls(self.lifecycle, self.core, self.fronts, nursery)
+            self.operator_commands = OperatorCommands(self.lifecycle, self.core, self.fronts, nursery)
             if config.console:
                 await self._open_console(nursery)
             nursery.start_soon(self.syslog.run)
@@ -163,7 +163,7 @@
             self.lifecycle.enter(Phase.SERVING)
             self.serving.set()
             await self.lifecycle.stop_requested.wait()
-            self.calls.stop()
+            self.operator_commands.stop()
             for front in self.fronts.values():
                 front.refuse_from = trio.current_time() + LAST_TAKEN_S
             self.lifecycle.enter(Phase.LINGERING)
@@ -221,7 +221,11 @@
         from . import console  # an installation without one does not load it
 
         self.budget.set_aside(console.DESCRIPTORS)
-        answers = {"ready": self.calls.ready, "drain": self.calls.drain, "resume": self.calls.resume}
+        answers = {
+            "ready": self.operator_commands.ready,
+            "drain": self.operator_commands.drain,
+            "resume": self.operator_commands.resume,
+        }
         self.console = console.Console(self.config.console, answers, self.system)
         self.addresses["console"] = await self.console.listener.bind()
         nursery.start_soon(self.console.serve, nursery)
@@ -247,7 +251,7 @@
         if others:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
         self.payloads.most = payload_bytes(memory_mb)
-        self.core.most_open = most_open(memory_mb)
+        self.core.most_open = max_open_rpcs(memory_mb)
 
     async def _signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,7 +17,7 @@
 
 from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
 from sorreldock.kserve.framing import Farewell, Farewells
-from sorreldock.program.serve import most_open, payload_bytes
+from sorreldock.program.serve import max_open_rpcs, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
 from sorreldock.transport.budget import Descriptors, Use
@@ -224,7 +224,7 @@
 
 def test_the_budgets_follow_the_limits() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
-    assert [most_open(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
+    assert [max_open_rpcs(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
         most = Descriptors(limit).most
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
