--- a/tests/peers.py
+++ b/tests/peers.py
@@ -297,14 +297,16 @@
         host, port = self.address.rsplit(":", 1)
         return HttpConnection(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
 
-    async def ask(self, method: str, target: str, body: bytes = b"", **headers: str | None) -> Answer:
+    async def send_request(
+        self, method: str, target: str, body: bytes = b"", **headers: str | None
+    ) -> Answer:
         wire = await self.connect()
         async with wire.stream:
             await wire.send(request(method, target, body, headers), h11.Data(data=body), h11.EndOfMessage())
             return await read_answer(wire)
 
     async def post(self, body: bytes = b"{}", **headers: str | None) -> Answer:
-        return await self.ask("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
+        return await self.send_request("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
 
     async def start_post(self, **headers: str | None) -> HttpConnection:
         """A request whose answer the test reads by itself."""
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -461,7 +461,7 @@
 @trio_test
 async def test_what_is_wrong_with_a_request_is_said() -> None:
     async with running_router(ScriptedServer()) as router:
-        assert (await router.ask("GET", "/up")).status == 200
+        assert (await router.send_request("GET", "/up")).status == 200
         for bad in (
             {"x_trace_id": None},
             {"x_qos": "nothing"},
@@ -472,8 +472,8 @@
             {"x_props": "prompt_len=many"},
         ):
             assert (await router.post(**bad)).status == 400, bad
-        assert (await router.ask("GET", "/nowhere")).status == 404
-        wrong = await router.ask("GET", "/v1/chat/completions")
+        assert (await router.send_request("GET", "/nowhere")).status == 404
+        wrong = await router.send_request("GET", "/v1/chat/completions")
         assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
         assert (await router.post(b"x" * (256 * 1024 + 1))).status == 413
         assert (await router.post(b"x" * (256 * 1024))).status == 200
@@ -533,7 +533,9 @@
         program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.005)
-        assert (await router.ask("GET", "/up")).status == 503  # still accepting, but no longer for work
+        assert (
+            await router.send_request("GET", "/up")
+        ).status == 503  # still accepting, but no longer for work
         late = await router.start_post(x_trace_id="late")
         while program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -46,7 +46,7 @@
     finish, engine = trio.Event(), ScriptedServer()
     async with running_router(engine, console="127.0.0.1:0") as router:
         assert await call(router, "ready") == "ok serving\n" == await call(router, "resume")
-        assert (await router.ask("GET", "/up")).status == 200
+        assert (await router.send_request("GET", "/up")).status == 200
         idle = await router.connect()
         taken = await start_streaming(router, engine, finish)
         assert [await call(router, word) for word in ("drain", "ready", "drain")] == [
@@ -54,7 +54,7 @@
             "fail drained\n",
             "ok draining\n",
         ]
-        assert (await router.ask("GET", "/up")).status == 503
+        assert (await router.send_request("GET", "/up")).status == 503
         # A connection of before is in use within the front's lag, and is told that it ends.
         kept = await router.connect()
         late = await router.post(x_trace_id="late")
@@ -69,7 +69,7 @@
         assert body == b"".join(EVENTS) and type(event).__name__ == "EndOfMessage"
         assert await taken.stream.receive_some(1) == b""
         assert await call(router, "resume") == "ok serving\n"
-        assert (await router.ask("GET", "/up")).status == 200
+        assert (await router.send_request("GET", "/up")).status == 200
         wire = await router.connect()
         for name in ("one", "two"):  # connections are kept again
             head = request("POST", "/v1/chat/completions", b"", {**FIELDS, "x_trace_id": name})
@@ -92,7 +92,7 @@
             await trio.sleep(0.002)
         for word in ("ready", "drain", "resume"):
             assert await call(router, word) == "fail stopping\n"
-        assert (await router.ask("GET", "/up")).status == 503
+        assert (await router.send_request("GET", "/up")).status == 503
 
 
 @trio_test
