--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,17 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, Engine, Router, Wire, among, answer, serve_until, story, streaming
+from peers import (
+    EVENTS,
+    HttpConnection,
+    Router,
+    ScriptedServer,
+    read_answer,
+    running_router,
+    start_streaming,
+    stream_until,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.transport import admission
@@ -90,18 +100,18 @@
     assert order == [stopped, silent, idle, slow]
 
 
-async def half_sent(router: Router, part: bytes) -> Wire:
+async def half_sent(router: Router, part: bytes) -> HttpConnection:
     wire = await router.connect()
     await wire.stream.send_all(part)
     return wire
 
 
-@story
+@trio_test
 async def test_half_sent_and_idle_connections_make_room_and_taken_requests_never() -> None:
-    finish, engine = trio.Event(), Engine()
-    async with among(engine) as router:
+    finish, engine = trio.Event(), ScriptedServer()
+    async with running_router(engine) as router:
         budget = router.program.budget
-        taken = await streaming(router, engine, finish)
+        taken = await start_streaming(router, engine, finish)
         budget.max_used[Use.CLIENT] = 12
         crowd_of = [await half_sent(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
@@ -111,7 +121,7 @@
         writer = await half_sent(router, raw()[:50])  # honest: it goes on, slowly
         while budget.used[Use.CLIENT] < 12:
             await trio.sleep(0.005)
-        engine.script, newcomers = serve_until(finish), []
+        engine.script, newcomers = stream_until(finish), []
         for number in range(9):  # each on a connection of its own, with a stream that goes on
             newcomers.append(await router.start_post(x_trace_id=f"new-{number}"))
             assert (await newcomers[-1].next()).status_code == 200
@@ -126,14 +136,14 @@
         assert closed >= 8
         await writer.stream.send_all(raw()[59:])
         finish.set()
-        assert (await answer(writer)).whole
+        assert (await read_answer(writer)).whole
         while type(event := await taken.next()).__name__ != "EndOfMessage":
             assert event.data in EVENTS
 
 
-@story
+@trio_test
 async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         payloads = router.program.payloads
         payloads.max_used = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
@@ -146,4 +156,4 @@
         assert await stopped.stream.receive_some(1) == b""
         fresh = await half_sent(router, head.replace(b"t1", b"t2") + b"\r\n\r\n" + b"x" * 59_000)
         await fresh.stream.send_all(b"x" * 1000)  # with room again, it is served
-        assert (await answer(fresh)).whole
+        assert (await read_answer(fresh)).whole
