--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -13,10 +13,10 @@
 
 from ...interface import ReplicaState, Status
 from ...program import serve
-from ...protocol import engine as engine_client
-from ...protocol.engine import PooledEngineClient
+from ...protocol import server_client
 from ...protocol.front import Front
 from ...protocol.http.front import ClientConnection
+from ...protocol.server_client import PooledServerClient
 from ...routing import core as core_module
 from ...routing.core import Core
 from ...routing.subchannel import Subchannel
@@ -55,7 +55,7 @@
 
 
 def _pool_resends() -> list[Patch]:
-    call = PooledEngineClient.call
+    call = PooledServerClient.call
 
     async def again(self: Any, rpc: Any, progress: Any) -> Any:
         report = await call(self, rpc, progress)
@@ -63,7 +63,7 @@
             return await call(self, rpc, progress)
         return report
 
-    return [(PooledEngineClient, "call", again)]
+    return [(PooledServerClient, "call", again)]
 
 
 def _sends_after_drain() -> list[Patch]:
@@ -206,7 +206,7 @@
     "no-silence-timer": Mutant(
         "the timer for engines that go silent never fires",
         "rest",
-        lambda: [(engine_client, "SILENCE_S", 1e9), (engine_client, "OPENING_S", 1e9)],
+        lambda: [(server_client, "SILENCE_S", 1e9), (server_client, "OPENING_S", 1e9)],
     ),
     "keeps-idle": Mutant(
         "idle connections outlive the program's end", "leak", lambda: [(Subchannel, "run", Subchannel._obey)]
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -91,7 +91,7 @@
             scenario.sockets,
             settings,
             decode_result(known, ListKind.CACHED),
-            Operator(kserve=kserve, engine_protocols=("http", "kserve")),
+            Operator(kserve=kserve, server_protocols=("http", "kserve")),
             scenario.memory_mb,
         )
 
--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -40,7 +40,7 @@
 
     http: bool = True
     kserve: Kserve | None = None
-    engine_protocols: tuple[str, ...] = ("http",)
+    server_protocols: tuple[str, ...] = ("http",)
     collector: str = ""
     least_severity: str = "info"
 
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -11,11 +11,11 @@
 
 from .. import __version__
 from ..protocol.front import Front
-from ..protocol.http.client import HttpEngineClient
+from ..protocol.http.client import HttpServerClient
 from ..protocol.http.discovery import Resolver
 from ..protocol.http.front import HttpFront
 from ..routing.core import Core
-from ..routing.types import EngineClient, ResolverResult
+from ..routing.types import ResolverResult, ServerClient
 from ..transport.budget import Descriptors, Payloads
 from ..transport.connection import dialler
 from ..transport.listener import Listener
@@ -90,12 +90,12 @@
     def ready(self) -> bool:
         return self.lifecycle.takes_work and self.core.can_serve()
 
-    def _connect(self, endpoint: str) -> dict[str, EngineClient]:
+    def _connect(self, endpoint: str) -> dict[str, ServerClient]:
         limits = self.config.settings.limits
-        clients: dict[str, EngineClient] = {}
-        if "http" in self.config.operator.engine_protocols:
+        clients: dict[str, ServerClient] = {}
+        if "http" in self.config.operator.server_protocols:
             probe_path = "/metrics/load" if self.config.settings.metrics else "/alive"
-            clients["http"] = HttpEngineClient(
+            clients["http"] = HttpServerClient(
                 endpoint,
                 self.budget,
                 limits.connect_timeout_s,
@@ -104,11 +104,11 @@
                 self._dial,
                 max(ENGINE_HOLDS // self.config.settings.gateways, LEAST_IDLE),
             )
-        if "kserve" in self.config.operator.engine_protocols:
+        if "kserve" in self.config.operator.server_protocols:
             # Only here: the platform's path has no use for the gRPC code and its memory.
-            from ..protocol.kserve.client import KserveEngineClient
+            from ..protocol.kserve.client import KserveServerClient
 
-            clients["kserve"] = KserveEngineClient(
+            clients["kserve"] = KserveServerClient(
                 endpoint, self.budget, limits.connect_timeout_s, limits.conn_idle_s, self._dial
             )
         return clients
@@ -126,7 +126,7 @@
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.engine_protocols else "kserve"
+        probed_with = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -12,9 +12,9 @@
 from ...transport.budget import Descriptors
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
-from .. import engine
-from ..engine import PooledEngineClient, ProtocolFault
+from .. import server_client
 from ..loads import HEADER, parse_load
+from ..server_client import PooledServerClient, ProtocolFault
 from .fields import HttpPayload
 
 LARGEST_LINE = 16 * 1024
@@ -28,7 +28,7 @@
 REPORT_LINE = b": " + HEADER.encode() + b":"
 
 
-class EngineLine:
+class ServerConnection:
     """A connection to an engine, with its parser."""
 
     def __init__(self, connection: Connection) -> None:
@@ -57,7 +57,7 @@
         while True:
             if not self.parser.trailing_data[0] and not self.connection.unread:
                 await self.connection.fill()  # for as long as the caller waits
-            with trio.move_on_after(engine.OPENING_S) as opening:
+            with trio.move_on_after(server_client.OPENING_S) as opening:
                 event = await self.next_event()
             if opening.cancelled_caught:
                 raise ConnectionLost("a head without an end")
@@ -112,7 +112,7 @@
         if end == 1:
             end = self._held.rfind(b"\n\r\n") + 3
             if end == 2:
-                if len(self._held) > engine.LARGEST_EVENT:
+                if len(self._held) > server_client.LARGEST_EVENT:
                     raise ProtocolFault("an event without an end")
                 return b""
         whole = bytes(self._held[:end])
@@ -143,7 +143,7 @@
             pass  # an engine may leave it out, or write anything
 
 
-class HttpEngineClient(PooledEngineClient[EngineLine, EngineLine]):
+class HttpServerClient(PooledServerClient[ServerConnection, ServerConnection]):
     """Call attempts and probes at one engine over HTTP/1.1."""
 
     def __init__(
@@ -157,12 +157,12 @@
         most_idle: int = 1 << 30,
     ) -> None:
         super().__init__(
-            Pool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial, most_idle, REST_S)
+            Pool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial, most_idle, REST_S)
         )
         self._host = address.encode()
         self._probe_path = probe_path.encode()
 
-    async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> EngineLine:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: CallProgress) -> ServerConnection:
         payload = rpc.payload
         assert isinstance(payload, HttpPayload)
         request = h11.Request(
@@ -180,7 +180,7 @@
         await line.send(request, payload.body)
         return line
 
-    async def answer(self, exchange: EngineLine, progress: CallProgress) -> Report:
+    async def answer(self, exchange: ServerConnection, progress: CallProgress) -> Report:
         head = await exchange.head()
         headers = dict(head.headers)
         load = parse_load(headers.get(HEADER.lower().encode(), b"").decode("latin-1"))
@@ -193,7 +193,7 @@
             return Report(Status.FULL if never_ran else Status.ERROR, load, note=note)
         events = Events()
         events.load = load
-        limit, chunk = engine.OPENING_S, bytearray()
+        limit, chunk = server_client.OPENING_S, bytearray()
         while True:
             with trio.move_on_after(limit) as silence:
                 whole = b""
@@ -208,17 +208,17 @@
                     # A chunk counts once it has come to its end: what is in one of the wrong size, or in one
                     # that never ends, is no event.
                     chunk += event.data
-                    if len(chunk) > engine.LARGEST_EVENT:
+                    if len(chunk) > server_client.LARGEST_EVENT:
                         raise ProtocolFault("a chunk too large")
                     if event.chunk_end or not exchange.chunked:
                         whole = events.feed(bytes(chunk))
                         chunk.clear()
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
-            limit = engine.SILENCE_S
+            limit = server_client.SILENCE_S
             await progress.event(whole)
 
-    async def ask_load(self, line: EngineLine) -> Report:
+    async def ask_load(self, line: ServerConnection) -> Report:
         await line.send(h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)]))
         head = await line.head()
         body = (await line.rest()).decode("latin-1")
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -30,9 +30,9 @@
 from ...transport.budget import Descriptors
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
-from .. import engine
-from ..engine import NeverTaken, PooledEngineClient, ProtocolFault
+from .. import server_client
 from ..loads import HEADER, parse_load
+from ..server_client import NeverTaken, PooledServerClient, ProtocolFault
 from .grpc import H2Wire
 from .metadata import HOP, KservePayload
 
@@ -53,7 +53,7 @@
 class Exchange:
     """One stream, from its request to its trailers."""
 
-    def __init__(self, line: EngineLine, number: int) -> None:
+    def __init__(self, line: ServerConnection, number: int) -> None:
         self.line = line
         self.number = number
         self.unframer = Unframer(LARGEST_ANSWER)
@@ -125,7 +125,7 @@
                     raise ConnectionLost("the last message is cut off")
                 return None
             if silence is not None and self.unframer.partial:
-                silence.deadline = min(latest, trio.current_time() + engine.OPENING_S)
+                silence.deadline = min(latest, trio.current_time() + server_client.OPENING_S)
             await self.step()
 
     def status(self) -> tuple[int, str]:
@@ -136,7 +136,7 @@
         return parse_load(text)
 
 
-class EngineLine:
+class ServerConnection:
     """A connection to an engine, with its HTTP/2 state."""
 
     def __init__(self, connection: Connection) -> None:
@@ -174,7 +174,7 @@
         return Exchange(self, number)
 
 
-class KserveEngineClient(PooledEngineClient[EngineLine, Exchange]):
+class KserveServerClient(PooledServerClient[ServerConnection, Exchange]):
     """Call attempts and probes at one engine over gRPC."""
 
     def __init__(
@@ -185,10 +185,10 @@
         conn_idle_s: float,
         dial: Dial = dial,
     ) -> None:
-        super().__init__(Pool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial))
+        super().__init__(Pool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial))
         self._address = address
 
-    async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> Exchange:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: CallProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with faults():
@@ -199,7 +199,7 @@
     async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
         started = False
         while True:
-            with trio.move_on_after(engine.SILENCE_S if started else math.inf) as silence, faults():
+            with trio.move_on_after(server_client.SILENCE_S if started else math.inf) as silence, faults():
                 message = await exchange.message(silence)
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
@@ -224,9 +224,9 @@
             return Report(Status.FULL, load, note=f"grpc-status {code}")
         return Report(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
-    async def ask_load(self, line: EngineLine) -> Report:
+    async def ask_load(self, line: ServerConnection) -> Report:
         with faults():
-            exchange = line.open("ServerReady", self._address, engine.PROBE_S, [])
+            exchange = line.open("ServerReady", self._address, server_client.PROBE_S, [])
             await exchange.send(frame(b""))
             message = await exchange.message()
             while await exchange.message() is not None:
--- a/sorreldock/protocol/engine.py
+++ b/sorreldock/protocol/server_client.py
@@ -42,7 +42,7 @@
 E = TypeVar("E")
 
 
-class PooledEngineClient(ABC, Generic[L, E]):
+class PooledServerClient(ABC, Generic[L, E]):
     """`L` is a connection with its parser, `E` an exchange on it."""
 
     def __init__(self, pool: Pool[L]) -> None:
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -229,7 +229,7 @@
             elif attempt.started:
                 gone = report.status is Status.CANCELLED
                 outcome = Outcome.GONE if gone else Outcome.BROKEN
-                self._finish(entry, Final(outcome, Cause.ENGINE, True))
+                self._finish(entry, Final(outcome, Cause.SERVER, True))
         if report.status is Status.OK:
             self._log(
                 "debug",
@@ -468,7 +468,7 @@
         if trio.current_time() >= entry.rpc.expires_at:
             cause = Cause.DEADLINE
         elif any(s is not Status.FULL for s in entry.statuses):
-            cause = Cause.ENGINE
+            cause = Cause.SERVER
         else:
             cause = Cause.CAPACITY
         self._finish(entry, Final(final.outcome, cause, entry.may_have_run(), final.retry_after_s))
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -10,7 +10,7 @@
 
 from ..interface import Status
 from .permissions import LONGEST_GRACE_S, Denial, may_write, time_to_finish_writing
-from .types import RPC, Connect, EngineClient, Report, SinkClosed, Target
+from .types import RPC, Connect, Report, ServerClient, SinkClosed, Target
 
 
 class CallAttempt:
@@ -132,7 +132,7 @@
         self.drained_at: float | None = None  # when it was told to take no more
         self.running = False  # its actor: from its first order on, since most of a large fleet is never used
         self._connect = connect
-        self._clients: dict[str, EngineClient] | None = None
+        self._clients: dict[str, ServerClient] | None = None
         self._probed_with = probed_with
         self._on_ended = on_ended
         self._on_probed = on_probed
@@ -153,7 +153,7 @@
         self._ready = ready
 
     @property
-    def clients(self) -> dict[str, EngineClient]:
+    def clients(self) -> dict[str, ServerClient]:
         """Its clients by protocol, made when they are first asked for."""
         if self._clients is None:
             self._clients = self._connect(self.target.endpoint)
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -25,7 +25,7 @@
 
     NONE = "none"
     DEADLINE = "deadline"
-    ENGINE = "engine"
+    SERVER = "engine"
     CAPACITY = "capacity"
 
 
@@ -131,7 +131,7 @@
     async def event(self, data: bytes) -> None: ...
 
 
-class EngineClient(Protocol):
+class ServerClient(Protocol):
     """Speaks one protocol with one engine. A cancelled call gives the engine up by closing its connection."""
 
     async def call(self, rpc: RPC, progress: CallProgress) -> Report: ...
@@ -168,5 +168,5 @@
     version: int = 0
 
 
-Connect = Callable[[str], dict[str, EngineClient]]  # an endpoint's clients, by protocol
+Connect = Callable[[str], dict[str, ServerClient]]  # an endpoint's clients, by protocol
 Log = Callable[..., None]  # (severity, message id, text, **structured data)
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -23,7 +23,7 @@
 METADATA = {"sorreldock-class": "alt-text", "sorreldock-tenant": "acme", "sorreldock-session": "s1"}
 BOTH = Operator(
     kserve=Kserve("127.0.0.1:0", ("desc",), "", "", 30.0),
-    engine_protocols=("http", "kserve"),
+    server_protocols=("http", "kserve"),
     least_severity="emerg",
 )
 
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -12,7 +12,7 @@
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
-from sorreldock.protocol.http.client import HttpEngineClient
+from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
 from sorreldock.routing.subchannel import CallAttempt
 from sorreldock.transport.budget import Descriptors
@@ -98,9 +98,9 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, and nobody listens
-        closed = HttpEngineClient(address, Descriptors(364), 1.0, 60.0, "/alive")
+        closed = HttpServerClient(address, Descriptors(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
         assert (await closed.call(attempt, attempt)).status is Status.NO_LISTENER
-    nowhere = HttpEngineClient("not-an-address", Descriptors(364), 1.0, 60.0, "/alive")
+    nowhere = HttpServerClient("not-an-address", Descriptors(364), 1.0, 60.0, "/alive")
     assert (await nowhere.probe()).status is Status.CONNECT_FAILED
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -14,8 +14,8 @@
 
 from sorreldock.interface import AttemptEnded, Status
 from sorreldock.kserve.framing import Code
-from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol import front as limits
+from sorreldock.protocol import server_client
 from sorreldock.protocol.http.client import Events
 from sorreldock.transport import admission
 from sorreldock.transport.budget import Use
@@ -202,7 +202,7 @@
 async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "OPENING_S", 0.1)
     engines = [Engine(), Engine()]
     for engine in engines:
         engine.scripts = [script]
@@ -219,7 +219,7 @@
 async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.2)
+    monkeypatch.setattr(server_client, "SILENCE_S", 0.2)
 
     async def well_begun(call: Call) -> None:
         await call.start(EVENTS[0])
@@ -336,7 +336,7 @@
 
 @story
 async def test_a_grpc_message_that_never_ends_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "OPENING_S", 0.1)
 
     async def cut(call: Stream) -> None:
         await call.start()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -18,8 +18,8 @@
 
 from sorreldock.interface import Status
 from sorreldock.program.phases import Phase
-from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol import front as limits
+from sorreldock.protocol import server_client
 from sorreldock.protocol.http import client as http_client
 from sorreldock.protocol.http import freshness
 from sorreldock.routing.subchannel import CallAttempt, Subchannel
@@ -164,7 +164,7 @@
 
 @story
 async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "SILENCE_S", 0.1)
 
     async def silent(call: Call) -> None:
         await call.start(EVENTS[0])
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -15,7 +15,7 @@
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
 from sorreldock.program.phases import Phase
-from sorreldock.protocol import engine as engine_client
+from sorreldock.protocol import server_client
 from sorreldock.protocol.kserve import connection as kserve_connection
 from sorreldock.protocol.kserve.grpc import ServerWire
 from sorreldock.transport.connection import Connection
@@ -184,7 +184,7 @@
 
 @story
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
@@ -200,7 +200,7 @@
 
 @story
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with among(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
@@ -210,7 +210,7 @@
 
 @story
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "SILENCE_S", 0.1)
     async with (
         among(SharedEngine(begin_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
@@ -293,7 +293,7 @@
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH.__class__(
         kserve=BOTH.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
-        engine_protocols=("http", "kserve"),
+        server_protocols=("http", "kserve"),
         least_severity="emerg",
     )
     async with among(SharedEngine(), operator=operator) as router:
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -12,7 +12,7 @@
 from test_bad_days import all_of, raw
 
 from sorreldock.interface import Status
-from sorreldock.protocol.http.client import HttpEngineClient
+from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.protocol.http.front import ClientConnection
 from sorreldock.routing.permissions import Audit, Denial, Rule, may_begin, may_write, write_until
 from sorreldock.routing.types import Outcome
@@ -146,7 +146,7 @@
         budget = Descriptors(364)
         while budget.take(Use.ENGINE):
             pass
-        client = HttpEngineClient(address, budget, 1.0, 60.0, "/alive")
+        client = HttpServerClient(address, budget, 1.0, 60.0, "/alive")
         assert (await client.probe()).status is Status.NOT_SENT
 
 
