--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -206,7 +206,7 @@
     "no-silence-timer": Mutant(
         "the timer for engines that go silent never fires",
         "rest",
-        lambda: [(server_client, "SILENCE_S", 1e9), (server_client, "OPENING_S", 1e9)],
+        lambda: [(server_client, "EVENT_GAP_TIMEOUT_S", 1e9), (server_client, "FIRST_EVENT_TIMEOUT_S", 1e9)],
     ),
     "keeps-idle": Mutant(
         "idle connections outlive the program's end", "leak", lambda: [(Subchannel, "run", Subchannel._obey)]
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -15,18 +15,20 @@
 from ..transport.budget import Descriptors, Payloads, Use
 from ..transport.connection import Connection
 
-LARGEST_BODY = 256 * 1024  # of a request, or of a message
+MAX_BODY_BYTES = 256 * 1024  # of a request, or of a message
 # What a client may take. A request that is cut short is told by the silence after it: a slow link delivers
 # late but goes on delivering, so a body that still comes has long.
-HEAD_S = 2.5  # from a connection's start, or from a later request's first byte, to the end of its head
-STALL_S = 2.0  # without a byte, within a request
-BODY_S = 30.0
-WRITE_S = 15.0  # a client that takes nothing for so long has gone
-HANG_UP_S = 5.0  # to read on after an error: 60 MB that were under way arrive in it
-QUIET_S = 1.0  # of nothing, and nothing more will come
-LATE_S = 1.0  # for the first byte, or call, of who comes to a drained router
+HEAD_TIMEOUT_S = (
+    2.5  # from a connection's start, or from a later request's first byte, to the end of its head
+)
+STALL_TIMEOUT_S = 2.0  # without a byte, within a request
+BODY_TIMEOUT_S = 30.0
+WRITE_TIMEOUT_S = 15.0  # a client that takes nothing for so long has gone
+HANG_UP_TIMEOUT_S = 5.0  # to read on after an error: 60 MB that were under way arrive in it
+HANG_UP_QUIET_S = 1.0  # of nothing, and nothing more will come
+DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte, or call, of who comes to a drained router
 CLOSE_POLL_S = 0.01
-SHED_AT_ONCE = 8  # connections that make room in one step, if their patience is used up
+MAX_EVICTED_AT_ONCE = 8  # connections that make room in one step, if their patience is used up
 
 
 class Client(Protocol):
@@ -127,7 +129,7 @@
 
     def make_room(self) -> bool:
         """Close a client connection for a newcomer, or some; tells whether there was one."""
-        shed = [c for c in self.queue.evictable(trio.current_time(), SHED_AT_ONCE) if not c.readable]
+        shed = [c for c in self.queue.evictable(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable]
         for client in shed:
             self.shed[client.stage.value] += 1
             client.make_room()
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -13,8 +13,8 @@
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
 from .. import server_client
-from ..loads import HEADER, parse_load
-from ..server_client import PooledServerClient, ProtocolFault
+from ..loads import LOAD_REPORT_HEADER, parse_load
+from ..server_client import PooledServerClient, ServerProtocolError
 from .fields import HttpPayload
 
 LARGEST_LINE = 16 * 1024
@@ -25,7 +25,7 @@
 REST_S = 0.02
 FIELD_NAMES = (b"data", b"", b"event", b"id", b"retry")  # of an event stream; an empty one is a comment
 BLANK = (b"", b"\r")
-REPORT_LINE = b": " + HEADER.encode() + b":"
+REPORT_LINE = b": " + LOAD_REPORT_HEADER.encode() + b":"
 
 
 class ServerConnection:
@@ -44,7 +44,7 @@
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
-                raise ProtocolFault(str(error)) from None
+                raise ServerProtocolError(str(error)) from None
             if event is h11.NEED_DATA:
                 self.parser.receive_data(await self.connection.receive())
             elif event is h11.PAUSED:
@@ -57,7 +57,7 @@
         while True:
             if not self.parser.trailing_data[0] and not self.connection.unread:
                 await self.connection.fill()  # for as long as the caller waits
-            with trio.move_on_after(server_client.OPENING_S) as opening:
+            with trio.move_on_after(server_client.FIRST_EVENT_TIMEOUT_S) as opening:
                 event = await self.next_event()
             if opening.cancelled_caught:
                 raise ConnectionLost("a head without an end")
@@ -112,8 +112,8 @@
         if end == 1:
             end = self._held.rfind(b"\n\r\n") + 3
             if end == 2:
-                if len(self._held) > server_client.LARGEST_EVENT:
-                    raise ProtocolFault("an event without an end")
+                if len(self._held) > server_client.MAX_EVENT_BYTES:
+                    raise ServerProtocolError("an event without an end")
                 return b""
         whole = bytes(self._held[:end])
         del self._held[:end]
@@ -133,7 +133,7 @@
             elif line.startswith(b"data: {") and b'"usage"' in line:
                 self._usage(line[6:])
             elif line not in BLANK and line.partition(b":")[0].rstrip(b"\r") not in FIELD_NAMES:
-                raise ProtocolFault("not an event stream")
+                raise ServerProtocolError("not an event stream")
 
     def _usage(self, text: bytes) -> None:
         try:
@@ -183,7 +183,7 @@
     async def answer(self, exchange: ServerConnection, progress: CallProgress) -> Report:
         head = await exchange.head()
         headers = dict(head.headers)
-        load = parse_load(headers.get(HEADER.lower().encode(), b"").decode("latin-1"))
+        load = parse_load(headers.get(LOAD_REPORT_HEADER.lower().encode(), b"").decode("latin-1"))
         if head.status_code != 200:
             never_ran = head.status_code in (503, 504) and headers.get(b"x-never-ran") == b"1"
             note = f"HTTP {head.status_code}"
@@ -193,7 +193,7 @@
             return Report(Status.FULL if never_ran else Status.ERROR, load, note=note)
         events = Events()
         events.load = load
-        limit, chunk = server_client.OPENING_S, bytearray()
+        limit, chunk = server_client.FIRST_EVENT_TIMEOUT_S, bytearray()
         while True:
             with trio.move_on_after(limit) as silence:
                 whole = b""
@@ -208,21 +208,23 @@
                     # A chunk counts once it has come to its end: what is in one of the wrong size, or in one
                     # that never ends, is no event.
                     chunk += event.data
-                    if len(chunk) > server_client.LARGEST_EVENT:
-                        raise ProtocolFault("a chunk too large")
+                    if len(chunk) > server_client.MAX_EVENT_BYTES:
+                        raise ServerProtocolError("a chunk too large")
                     if event.chunk_end or not exchange.chunked:
                         whole = events.feed(bytes(chunk))
                         chunk.clear()
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
-            limit = server_client.SILENCE_S
+            limit = server_client.EVENT_GAP_TIMEOUT_S
             await progress.event(whole)
 
     async def ask_load(self, line: ServerConnection) -> Report:
         await line.send(h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)]))
         head = await line.head()
         body = (await line.rest()).decode("latin-1")
-        text = body.strip() or dict(head.headers).get(HEADER.lower().encode(), b"").decode("latin-1")
-        text = text.removeprefix(HEADER + ":").strip()
+        text = body.strip() or dict(head.headers).get(LOAD_REPORT_HEADER.lower().encode(), b"").decode(
+            "latin-1"
+        )
+        text = text.removeprefix(LOAD_REPORT_HEADER + ":").strip()
         status = Status.OK if head.status_code == 200 else Status.FULL
         return Report(status, parse_load(text), note=f"HTTP {head.status_code}")
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -19,7 +19,7 @@
 LARGEST_HEAD = 16 * 1024
 # Bytes kept of requests that a client sends before it has been answered: one of the largest. Later ones are
 # read and dropped, since the client's close can only be seen behind them; the first of them gets a 503.
-LARGEST_AHEAD = limits.LARGEST_BODY + LARGEST_HEAD
+LARGEST_AHEAD = limits.MAX_BODY_BYTES + LARGEST_HEAD
 LEAST_WAIT_S = 0.001  # of who has given up already: the module ends it
 IDLE_S = 5.0  # between requests; the platform allows 2 s, and clients come again over a new connection
 CLOSE = (b"connection", b"close")
@@ -112,7 +112,7 @@
         return self.parser.send(event) or b""
 
     async def write(self, data: bytes) -> None:
-        with trio.move_on_after(limits.WRITE_S) as scope:
+        with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             await self.connection.send(data)
         if scope.cancelled_caught:  # guards memory and engines against a reader that never reads
             raise ClientStalled("the client takes nothing")
@@ -186,7 +186,7 @@
             self.hung_up = True
             with trio.CancelScope() as self.waiting:
                 self.reach(Stage.IDLE)
-                await self.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                await self.connection.hang_up(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
 
     def begun(self) -> bool:
         """Whether a part of the next request has been read."""
@@ -201,10 +201,16 @@
 
     async def next_request(self) -> h11.Request | None:
         """The next head; None at the connection's end."""
-        head_by = self.connected_at + limits.HEAD_S
+        head_by = self.connected_at + limits.HEAD_TIMEOUT_S
         if not self.begun():
             self.release_ahead()
-            patience = limits.LATE_S if self.front.closing else IDLE_S if self.spoken else limits.HEAD_S
+            patience = (
+                limits.DRAINING_FIRST_BYTE_TIMEOUT_S
+                if self.front.closing
+                else IDLE_S
+                if self.spoken
+                else limits.HEAD_TIMEOUT_S
+            )
             with trio.move_on_after(patience) as self.waiting:
                 self.reach(Stage.IDLE if self.spoken else Stage.SILENT)
                 if not await self.connection.fill():
@@ -214,7 +220,7 @@
                 return None
         self.reach(Stage.HALF)
         if self.spoken:
-            head_by = trio.current_time() + limits.HEAD_S
+            head_by = trio.current_time() + limits.HEAD_TIMEOUT_S
         self.spoken = True
         with trio.move_on_at(head_by):
             request = await self.next_event()
@@ -269,13 +275,13 @@
             raise Answered(405, "method not allowed", ((b"allow", method),))
 
     async def body(self, length: bytes = b"0") -> bytes:
-        if length.isdigit() and int(length) > limits.LARGEST_BODY:
+        if length.isdigit() and int(length) > limits.MAX_BODY_BYTES:
             raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
         parts: list[bytes] = []
         size = 0
-        with trio.move_on_after(limits.BODY_S):
+        with trio.move_on_after(limits.BODY_TIMEOUT_S):
             while True:
-                with trio.move_on_after(limits.STALL_S) as stall:
+                with trio.move_on_after(limits.STALL_TIMEOUT_S) as stall:
                     event = await self.next_event()
                 if stall.cancelled_caught:
                     raise Answered(408, "the body does not go on", (CLOSE,))
@@ -285,7 +291,7 @@
                 if not isinstance(event, h11.Data):
                     raise ConnectionLost("the client left within its body")
                 size += len(event.data)
-                if size > limits.LARGEST_BODY:
+                if size > limits.MAX_BODY_BYTES:
                     raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
                 if not self.front.hold(self, len(event.data)):
                     raise Answered(503, "too many large requests", ((b"retry-after", b"1"), CLOSE))
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -32,7 +32,7 @@
         self.head = CallHead(number, headers)
         self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
-        self.unframer = Unframer(limits.LARGEST_BODY)
+        self.unframer = Unframer(limits.MAX_BODY_BYTES)
         self.held_bytes = 0  # of the payload budget
         self.unread = 0  # bytes in the unframer that the peer has not got back as room
         self.crowded = False  # its request found no room in memory
@@ -93,7 +93,7 @@
             self.head_sent = True
             wire.h2.send_headers(self.number, HEAD)
         view = memoryview(data)
-        with trio.move_on_after(limits.WRITE_S) as scope:
+        with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             while view:
                 if self.reset:
                     raise ConnectionLost("the client has cancelled")
@@ -132,7 +132,7 @@
             self.give_room()
             # A stream may stand open between its messages; a request that has begun goes on.
             begun = self.unary or self.unframer.partial
-            with trio.move_on_after(limits.STALL_S if begun else math.inf) as stall:
+            with trio.move_on_after(limits.STALL_TIMEOUT_S if begun else math.inf) as stall:
                 await self.changed.wait()
             if stall.cancelled_caught:
                 raise GrpcError(Code.DEADLINE_EXCEEDED, "the request does not go on")
@@ -186,7 +186,7 @@
             if not self.head_sent:
                 await self.send(b"")
             return
-        with trio.move_on_after(limits.BODY_S) as scope:
+        with trio.move_on_after(limits.BODY_TIMEOUT_S) as scope:
             message = await self.message()
             if message is not None and await self.message() is not None:
                 raise GrpcError(Code.INVALID_ARGUMENT, "a unary call with two messages")
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -31,12 +31,12 @@
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
 from .. import server_client
-from ..loads import HEADER, parse_load
-from ..server_client import NeverTaken, PooledServerClient, ProtocolFault
+from ..loads import LOAD_REPORT_HEADER, parse_load
+from ..server_client import PooledServerClient, RequestNotProcessed, ServerProtocolError
 from .grpc import H2Wire
 from .metadata import HOP, KservePayload
 
-LOAD = HEADER.lower()
+LOAD = LOAD_REPORT_HEADER.lower()
 # The request is at fault, not the engine: another would say the same, so the client gets this word as it is.
 VERDICTS = (Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.FAILED_PRECONDITION, Code.UNIMPLEMENTED)
 
@@ -47,7 +47,7 @@
     try:
         yield
     except (h2.exceptions.ProtocolError, GrpcError, DecodeError) as error:
-        raise ProtocolFault(str(error)) from None
+        raise ServerProtocolError(str(error)) from None
 
 
 class Exchange:
@@ -78,7 +78,7 @@
             case Farewell(last_stream, error):
                 self.line.going = True
                 if last_stream < self.number:
-                    raise NeverTaken("left out by a GOAWAY")
+                    raise RequestNotProcessed("left out by a GOAWAY")
                 if error:
                     raise ConnectionLost(f"GOAWAY with error {error}")
             case _ if getattr(event, "stream_id", None) != self.number:
@@ -95,7 +95,7 @@
                 self.ended = True
             case h2.events.StreamReset():
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
-                    raise NeverTaken("REFUSED_STREAM")
+                    raise RequestNotProcessed("REFUSED_STREAM")
                 if not self.ended:
                     raise ConnectionLost(f"stream reset with error {event.error_code}")
 
@@ -125,7 +125,7 @@
                     raise ConnectionLost("the last message is cut off")
                 return None
             if silence is not None and self.unframer.partial:
-                silence.deadline = min(latest, trio.current_time() + server_client.OPENING_S)
+                silence.deadline = min(latest, trio.current_time() + server_client.FIRST_EVENT_TIMEOUT_S)
             await self.step()
 
     def status(self) -> tuple[int, str]:
@@ -199,7 +199,10 @@
     async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
         started = False
         while True:
-            with trio.move_on_after(server_client.SILENCE_S if started else math.inf) as silence, faults():
+            with (
+                trio.move_on_after(server_client.EVENT_GAP_TIMEOUT_S if started else math.inf) as silence,
+                faults(),
+            ):
                 message = await exchange.message(silence)
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
@@ -226,7 +229,7 @@
 
     async def ask_load(self, line: ServerConnection) -> Report:
         with faults():
-            exchange = line.open("ServerReady", self._address, server_client.PROBE_S, [])
+            exchange = line.open("ServerReady", self._address, server_client.PROBE_TIMEOUT_S, [])
             await exchange.send(frame(b""))
             message = await exchange.message()
             while await exchange.message() is not None:
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -101,7 +101,7 @@
                     with trio.move_on_after(1.0):
                         await self.wire.flushed()  # the farewell, if the client was at fault
                     if self.at_fault:
-                        await self.wire.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                        await self.wire.connection.hang_up(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
             pass  # the client has gone, or is none of ours
@@ -169,10 +169,10 @@
         that comes to a drained router and brings no call, sooner.
         """
         if not self.front.accepting:
-            await trio.sleep(limits.LATE_S)
+            await trio.sleep(limits.DRAINING_FIRST_BYTE_TIMEOUT_S)
             if not self.streams and not self.front.accepting:
                 self.go_away()
-        await trio.sleep(limits.HEAD_S)
+        await trio.sleep(limits.HEAD_TIMEOUT_S)
         if not self.spoken:
             self.scope.cancel()
 
--- a/sorreldock/protocol/kserve/grpc.py
+++ b/sorreldock/protocol/kserve/grpc.py
@@ -116,7 +116,7 @@
                 await self._wake.wait()
             data, self._pending = self._pending, b""
             self._sending = True
-            with trio.move_on_after(limits.WRITE_S) as scope:
+            with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
                 await self.connection.send(data)
             if scope.cancelled_caught:
                 raise ConnectionLost("the client takes nothing")
--- a/sorreldock/protocol/loads.py
+++ b/sorreldock/protocol/loads.py
@@ -6,7 +6,7 @@
 
 from ..interface import Metric
 
-HEADER = "Endpoint-Load-Metrics"
+LOAD_REPORT_HEADER = "Endpoint-Load-Metrics"
 LARGEST = 1e6  # no count, share or time of an engine is larger, in the units of the settings
 NAMES = {
     "inflight": Metric.IN_FLIGHT,
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -14,20 +14,20 @@
 
 # An engine that goes silent within a stream: its client would wait for ever, since a vanished machine says
 # nothing. Longer than a slow engine's pause between events, shorter than the 5 s that the platform allows.
-SILENCE_S = 3.5
-PROBE_S = 0.25
+EVENT_GAP_TIMEOUT_S = 3.5
+PROBE_TIMEOUT_S = 0.25
 # An answer that has begun to arrive brings its first whole event at once: its head comes with its first.
 # Guards against a head without an end, or noise in place of the opening, on a connection that stays open:
 # without this limit the request would wait for its deadline, with no time left for another attempt.
-OPENING_S = 1.0
-LARGEST_EVENT = 128 * 1024
+FIRST_EVENT_TIMEOUT_S = 1.0
+MAX_EVENT_BYTES = 128 * 1024
 
 
-class NeverTaken(ConnectionLost):
+class RequestNotProcessed(ConnectionLost):
     """The protocol's own proof that a request was not processed."""
 
 
-class ProtocolFault(Exception):
+class ServerProtocolError(Exception):
     """The engine has said what its protocol does not allow."""
 
 
@@ -75,17 +75,17 @@
                 return Report(Status.NOT_SENT)
             try:
                 exchange = await self.send(line, rpc, progress)
-            except NeverTaken as error:
+            except RequestNotProcessed as error:
                 return Report(Status.FULL, note=str(error))
-            except (ConnectionLost, ProtocolFault) as error:
+            except (ConnectionLost, ServerProtocolError) as error:
                 # Its last byte was not written: it never ran, and the transport never sends it again.
                 return Report(Status.CONNECT_FAILED, note=str(error))
             progress.sent()
             try:
                 report = await self.answer(exchange, progress)
-            except NeverTaken as error:
+            except RequestNotProcessed as error:
                 return Report(Status.FULL, note=str(error))
-            except (ConnectionLost, ProtocolFault) as error:
+            except (ConnectionLost, ServerProtocolError) as error:
                 return Report(Status.RESET, note=str(error))
             whole = True
             return report
@@ -93,7 +93,7 @@
             self._pool.give_back(line, whole)
 
     async def probe(self) -> Report:
-        with trio.move_on_after(PROBE_S):
+        with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
                 line = await self._pool.get()
             except DialFailed as error:
@@ -103,7 +103,7 @@
                 report = await self.ask_load(line)
                 whole = True
                 return report
-            except (ConnectionLost, ProtocolFault) as error:
+            except (ConnectionLost, ServerProtocolError) as error:
                 return Report(Status.RESET, note=str(error))
             finally:
                 self._pool.give_back(line, whole)
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -95,8 +95,8 @@
 )
 @story
 async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
     async with among(Engine()) as router:
         wire = await router.connect()
         if begun:
@@ -108,7 +108,7 @@
 
 @story
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "STALL_S", 0.3)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.3)
     engine = Engine()
     async with among(engine) as router:
         wire = await router.connect()
@@ -202,7 +202,7 @@
 async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
     engines = [Engine(), Engine()]
     for engine in engines:
         engine.scripts = [script]
@@ -219,7 +219,7 @@
 async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_client, "SILENCE_S", 0.2)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.2)
 
     async def well_begun(call: Call) -> None:
         await call.start(EVENTS[0])
@@ -294,8 +294,8 @@
 
 @story
 async def test_a_grpc_client_that_stops_halfway_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
     async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
@@ -336,7 +336,7 @@
 
 @story
 async def test_a_grpc_message_that_never_ends_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
 
     async def cut(call: Stream) -> None:
         await call.start()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -164,7 +164,7 @@
 
 @story
 async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
 
     async def silent(call: Call) -> None:
         await call.start(EVENTS[0])
@@ -471,7 +471,7 @@
 
 @story
 async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.05)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.05)
     async with among(Engine()) as router:
         wire = await router.connect()
         await wire.stream.send_all(b"POST /v1/chat")
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -184,7 +184,7 @@
 
 @story
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
@@ -200,7 +200,7 @@
 
 @story
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with among(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
@@ -210,7 +210,7 @@
 
 @story
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
     async with (
         among(SharedEngine(begin_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -406,7 +406,7 @@
 
 
 async def greets_as_ever(self: kserve_connection.ClientConnection) -> None:
-    await trio.sleep(limits.HEAD_S)
+    await trio.sleep(limits.HEAD_TIMEOUT_S)
     if not self.spoken:
         self.scope.cancel()
 
