--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ..routing.types import Log, Router
+from ..routing.types import Log, RPCDispatcher
 from ..transport.admission import EvictionQueue, Stage, evictable
 from ..transport.budget import Descriptors, Payloads, Use
 from ..transport.connection import Connection
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        core: Router,
+        core: RPCDispatcher,
         is_ready: Callable[[], bool],
         budget: Descriptors,
         payloads: Payloads,
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -8,7 +8,7 @@
 import trio
 
 from ...interface import Metric, Status
-from ...routing.types import RPC, CallProgress, Report
+from ...routing.types import RPC, AttemptProgress, AttemptResult
 from ...transport.budget import Descriptors
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
@@ -162,7 +162,7 @@
         self._host = address.encode()
         self._probe_path = probe_path.encode()
 
-    async def send(self, line: ServerConnection, rpc: RPC, progress: CallProgress) -> ServerConnection:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> ServerConnection:
         payload = rpc.payload
         assert isinstance(payload, HttpPayload)
         request = h11.Request(
@@ -180,7 +180,7 @@
         await line.send(request, payload.body)
         return line
 
-    async def answer(self, exchange: ServerConnection, progress: CallProgress) -> Report:
+    async def answer(self, exchange: ServerConnection, progress: AttemptProgress) -> AttemptResult:
         head = await exchange.head()
         headers = dict(head.headers)
         load = parse_load(headers.get(LOAD_REPORT_HEADER.lower().encode(), b"").decode("latin-1"))
@@ -189,8 +189,8 @@
             note = f"HTTP {head.status_code}"
             await exchange.rest()
             if head.status_code in VERDICTS:
-                return Report(Status.OK, load, note=note, verdict=head.status_code)
-            return Report(Status.FULL if never_ran else Status.ERROR, load, note=note)
+                return AttemptResult(Status.OK, load, note=note, server_status=head.status_code)
+            return AttemptResult(Status.FULL if never_ran else Status.ERROR, load, note=note)
         events = Events()
         events.load = load
         limit, chunk = server_client.FIRST_EVENT_TIMEOUT_S, bytearray()
@@ -202,7 +202,7 @@
                     if isinstance(event, h11.EndOfMessage):
                         if rest := events.rest():
                             await progress.event(rest)
-                        return Report(Status.OK, events.load, events.cached_tokens)
+                        return AttemptResult(Status.OK, events.load, events.cached_tokens)
                     if not isinstance(event, h11.Data):
                         raise ConnectionLost("the stream was cut off")
                     # A chunk counts once it has come to its end: what is in one of the wrong size, or in one
@@ -218,7 +218,7 @@
             limit = server_client.EVENT_GAP_TIMEOUT_S
             await progress.event(whole)
 
-    async def ask_load(self, line: ServerConnection) -> Report:
+    async def ask_load(self, line: ServerConnection) -> AttemptResult:
         await line.send(h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)]))
         head = await line.head()
         body = (await line.rest()).decode("latin-1")
@@ -227,4 +227,4 @@
         )
         text = text.removeprefix(LOAD_REPORT_HEADER + ":").strip()
         status = Status.OK if head.status_code == 200 else Status.FULL
-        return Report(status, parse_load(text), note=f"HTTP {head.status_code}")
+        return AttemptResult(status, parse_load(text), note=f"HTTP {head.status_code}")
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from ...routing.types import RPC, Final, NameTaken, Outcome, Overloaded, SinkClosed
+from ...routing.types import RPC, FinalAnswer, NameTaken, Outcome, Overloaded, SinkClosed
 from ...transport.admission import Stage
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
@@ -54,7 +54,7 @@
         self.held_bytes = self.ahead_bytes = 0
         self.arrivals = Arrivals(self.connected_at)
         self.dropping = False  # more was sent ahead than is kept: what comes now is read and dropped
-        self.final: Final | None = None
+        self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.head_sent = False
         self.rpc_key = ""  # of the last RPC, for the log
@@ -99,7 +99,7 @@
         except ConnectionLost:
             raise SinkClosed from None
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         self.final = final
         self.finished.set()
 
@@ -355,8 +355,8 @@
     async def conclude(self) -> None:
         final = self.final
         assert final is not None
-        if isinstance(final.verdict, int):  # an engine's own word on a faulty request
-            await self.answer(final.verdict, "the engine can't use the request")
+        if isinstance(final.server_status, int):  # an engine's own word on a faulty request
+            await self.answer(final.server_status, "the engine can't use the request")
         elif final.outcome is Outcome.SERVED:
             if not self.head_sent:
                 await self.write(self.encode(h11.Response(status_code=200, headers=STREAM_HEAD)))
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -12,7 +12,7 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import SERVICE, Code, GrpcError, Headers, Unframer, frame, trailers
-from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
+from ...routing.types import FinalAnswer, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
 from .metadata import MARK, CallHead, answer_of, rpc_from
@@ -41,7 +41,7 @@
         self.changed = trio.Event()
         self.head_sent = False
         self.trailing: Headers = []  # the engine's own, for the client
-        self.final: Final | None = None
+        self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.answering = False  # from a request's submission until its answer is handed to the wire
 
@@ -61,7 +61,7 @@
         except (ConnectionLost, h2.exceptions.ProtocolError):
             raise SinkClosed from None
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         self.final = final
         self.finished.set()
 
@@ -226,8 +226,8 @@
         error = answer_of(self.final)
         if error is not None:
             raise error
-        if isinstance(self.final.verdict, GrpcError):
-            self.trailing = self.final.verdict.metadata  # on a long stream, the last answer's
+        if isinstance(self.final.server_status, GrpcError):
+            self.trailing = self.final.server_status.metadata  # on a long stream, the last answer's
 
 
 M = TypeVar("M", bound=Message)
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -26,7 +26,7 @@
     frame,
     status_of,
 )
-from ...routing.types import RPC, CallProgress, Report
+from ...routing.types import RPC, AttemptProgress, AttemptResult
 from ...transport.budget import Descriptors
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import Pool
@@ -188,7 +188,7 @@
         super().__init__(Pool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial))
         self._address = address
 
-    async def send(self, line: ServerConnection, rpc: RPC, progress: CallProgress) -> Exchange:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with faults():
@@ -196,7 +196,7 @@
             await exchange.send(frame(payload.message))
         return exchange
 
-    async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
+    async def answer(self, exchange: Exchange, progress: AttemptProgress) -> AttemptResult:
         started = False
         while True:
             with (
@@ -212,7 +212,7 @@
             await progress.event(message)
 
     @staticmethod
-    def _ending(exchange: Exchange, started: bool) -> Report:
+    def _ending(exchange: Exchange, started: bool) -> AttemptResult:
         code, text = exchange.status()
         load = exchange.load()
         names = dict(exchange.trailers)
@@ -220,14 +220,14 @@
             (k, v) for k, v in exchange.trailers if not HOP.match(k) and k not in (LOAD, "x-never-ran")
         ]
         if code == Code.OK:
-            return Report(Status.OK, load, verdict=GrpcError(Code.OK, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(Code.OK, text, metadata))
         if not started and code in VERDICTS:
-            return Report(Status.OK, load, verdict=GrpcError(code, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(code, text, metadata))
         if not started and names.get("x-never-ran") == "1":
-            return Report(Status.FULL, load, note=f"grpc-status {code}")
-        return Report(Status.ERROR, load, note=f"grpc-status {code}: {text}")
+            return AttemptResult(Status.FULL, load, note=f"grpc-status {code}")
+        return AttemptResult(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
-    async def ask_load(self, line: ServerConnection) -> Report:
+    async def ask_load(self, line: ServerConnection) -> AttemptResult:
         with faults():
             exchange = line.open("ServerReady", self._address, server_client.PROBE_TIMEOUT_S, [])
             await exchange.send(frame(b""))
@@ -235,4 +235,4 @@
             while await exchange.message() is not None:
                 pass
             ready = pb.ServerReadyResponse.FromString(message or b"").ready
-        return Report(Status.OK if ready else Status.FULL, exchange.load())
+        return AttemptResult(Status.OK if ready else Status.FULL, exchange.load())
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -8,7 +8,7 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import Code, GrpcError
-from ...routing.types import Log, Router
+from ...routing.types import Log, RPCDispatcher
 from ...transport.budget import Descriptors, Payloads
 from ...transport.connection import Connection, ConnectionLost
 from ..front import Front
@@ -26,7 +26,7 @@
         self,
         settings: FrontSettings,
         version: str,
-        core: Router,
+        core: RPCDispatcher,
         is_ready: Callable[[], bool],
         budget: Descriptors,
         payloads: Payloads,
--- a/sorreldock/protocol/kserve/metadata.py
+++ b/sorreldock/protocol/kserve/metadata.py
@@ -9,7 +9,7 @@
 import trio
 
 from ...kserve.framing import Code, GrpcError, Headers, parse_timeout
-from ...routing.types import RPC, Cause, EventSink, Final, Outcome, Router
+from ...routing.types import RPC, Cause, EventSink, FinalAnswer, Outcome, RPCDispatcher
 
 LONGEST_WAIT_S = 3600.0
 MARK = "sorreldock-"  # what the router's own metadata begins with
@@ -49,10 +49,10 @@
         self.arrived_at = trio.current_time()
 
 
-def answer_of(final: Final) -> GrpcError | None:
+def answer_of(final: FinalAnswer) -> GrpcError | None:
     """The status of an RPC's final answer; None for OK."""
-    if isinstance(final.verdict, GrpcError):  # an engine's own word on a faulty request
-        return final.verdict if final.verdict.code != Code.OK else None
+    if isinstance(final.server_status, GrpcError):  # an engine's own word on a faulty request
+        return final.server_status if final.server_status.code != Code.OK else None
     if final.outcome is Outcome.SERVED:
         return None
     if final.cause is Cause.DEADLINE:
@@ -73,7 +73,7 @@
     message: bytes,
     request_id: str,
     settings: FrontSettings,
-    core: Router,
+    core: RPCDispatcher,
     sink: EventSink,
 ) -> RPC:
     """The RPC of one request message; GrpcError for metadata that can't be used."""
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..interface import Status
-from ..routing.types import RPC, CallProgress, Report
+from ..routing.types import RPC, AttemptProgress, AttemptResult
 from ..transport.connection import ConnectionLost, DialFailed, LocalShortage, NoListener
 from ..transport.pool import Line, Pool
 
@@ -52,59 +52,59 @@
         self.trim = pool.trim
 
     @abstractmethod
-    async def send(self, line: L, rpc: RPC, progress: CallProgress) -> E:
+    async def send(self, line: L, rpc: RPC, progress: AttemptProgress) -> E:
         """Write the request to its last byte."""
 
     @abstractmethod
-    async def answer(self, exchange: E, progress: CallProgress) -> Report:
+    async def answer(self, exchange: E, progress: AttemptProgress) -> AttemptResult:
         """Pass the answer's events on, to its end."""
 
     @abstractmethod
-    async def ask_load(self, line: L) -> Report:
+    async def ask_load(self, line: L) -> AttemptResult:
         """A probe."""
 
-    async def call(self, rpc: RPC, progress: CallProgress) -> Report:
+    async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
         try:
             line = await self._pool.get()
         except DialFailed as error:
-            return Report(dial_status(error), note=str(error))
+            return AttemptResult(dial_status(error), note=str(error))
         whole = False
         try:
             if not progress.may_send():
                 whole = True
-                return Report(Status.NOT_SENT)
+                return AttemptResult(Status.NOT_SENT)
             try:
                 exchange = await self.send(line, rpc, progress)
             except RequestNotProcessed as error:
-                return Report(Status.FULL, note=str(error))
+                return AttemptResult(Status.FULL, note=str(error))
             except (ConnectionLost, ServerProtocolError) as error:
                 # Its last byte was not written: it never ran, and the transport never sends it again.
-                return Report(Status.CONNECT_FAILED, note=str(error))
+                return AttemptResult(Status.CONNECT_FAILED, note=str(error))
             progress.sent()
             try:
                 report = await self.answer(exchange, progress)
             except RequestNotProcessed as error:
-                return Report(Status.FULL, note=str(error))
+                return AttemptResult(Status.FULL, note=str(error))
             except (ConnectionLost, ServerProtocolError) as error:
-                return Report(Status.RESET, note=str(error))
+                return AttemptResult(Status.RESET, note=str(error))
             whole = True
             return report
         finally:  # a connection that is not kept is closed, which gives the attempt up
             self._pool.give_back(line, whole)
 
-    async def probe(self) -> Report:
+    async def probe(self) -> AttemptResult:
         with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
                 line = await self._pool.get()
             except DialFailed as error:
-                return Report(dial_status(error), note=str(error))
+                return AttemptResult(dial_status(error), note=str(error))
             whole = False
             try:
                 report = await self.ask_load(line)
                 whole = True
                 return report
             except (ConnectionLost, ServerProtocolError) as error:
-                return Report(Status.RESET, note=str(error))
+                return AttemptResult(Status.RESET, note=str(error))
             finally:
                 self._pool.give_back(line, whole)
-        return Report(Status.TIMEOUT)
+        return AttemptResult(Status.TIMEOUT)
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -41,19 +41,19 @@
 from .pace import DecisionPace, advice_s, waits_too_long
 from .permissions import Audit, Rule, may_begin, write_until
 from .server_table import ServerTable
-from .subchannel import CallAttempt, Probing, Start, Subchannel
+from .subchannel import Attempt, Probing, Start, Subchannel
 from .timers import Timers
 from .types import (
     RPC,
+    AttemptResult,
     Cause,
-    Connect,
-    Final,
+    FinalAnswer,
     Log,
     NameTaken,
     Outcome,
     Overloaded,
-    Report,
     ResolverResult,
+    ServerClientFactory,
 )
 
 # The final answer has to land before the client gives up, and its clock started a journey earlier than ours.
@@ -70,7 +70,7 @@
         self,
         settings: Settings,
         seed: int,
-        connect: Connect,
+        connect: ServerClientFactory,
         log: Log,
         most_open: int = 512,
         probed_with: str = "http",
@@ -141,7 +141,7 @@
         entry = self.open.get(rpc.key)
         if entry is None or entry.answered:
             return
-        self._finish(entry, Final(Outcome.GONE), reason)
+        self._finish(entry, FinalAnswer(Outcome.GONE), reason)
         self._abandon(entry)
 
     def closed_owing(self, rpc: str, reason: str) -> None:
@@ -200,12 +200,12 @@
 
     # What the call attempts tell.
 
-    def _attempt_began(self, attempt: CallAttempt) -> None:
+    def _attempt_began(self, attempt: Attempt) -> None:
         latency = attempt.first_s = trio.current_time() - attempt.made_at
         attempt.rpc.payload = None  # nothing more goes out for it
         self._mailbox.post(FirstToken(attempt.rpc.key, attempt.number, attempt.subchannel.number, latency))
 
-    def _attempt_written(self, attempt: CallAttempt) -> None:
+    def _attempt_written(self, attempt: Attempt) -> None:
         entry = self.open[attempt.rpc.key]
         self.audit.written(
             attempt.rpc.key,
@@ -216,7 +216,7 @@
             drained_at=attempt.subchannel.drained_at,
         )
 
-    def _attempt_ended(self, attempt: CallAttempt, report: Report, latency_s: float) -> None:
+    def _attempt_ended(self, attempt: Attempt, report: AttemptResult, latency_s: float) -> None:
         entry = self.open[attempt.rpc.key]
         entry.out -= 1
         entry.statuses.append(report.status)
@@ -225,11 +225,11 @@
             entry.first_run_at = attempt.made_at
         if not entry.answered:
             if report.status is Status.OK:
-                self._finish(entry, Final(Outcome.SERVED, verdict=report.verdict))
+                self._finish(entry, FinalAnswer(Outcome.SERVED, server_status=report.server_status))
             elif attempt.started:
                 gone = report.status is Status.CANCELLED
                 outcome = Outcome.GONE if gone else Outcome.BROKEN
-                self._finish(entry, Final(outcome, Cause.SERVER, True))
+                self._finish(entry, FinalAnswer(outcome, Cause.SERVER, True))
         if report.status is Status.OK:
             self._log(
                 "debug",
@@ -277,10 +277,10 @@
         )
         self._forget_if_over(entry)
 
-    def _probe_ended(self, subchannel: Subchannel, report: Report, latency_s: float) -> None:
+    def _probe_ended(self, subchannel: Subchannel, report: AttemptResult, latency_s: float) -> None:
         self._mailbox.post(ProbeEnded(subchannel.number, report.status, latency_s, self._row(report)))
 
-    def _row(self, report: Report) -> tuple[float, ...]:
+    def _row(self, report: AttemptResult) -> tuple[float, ...]:
         """The reported values in the order of the settings; empty when one is missing."""
         if any(metric not in report.load for metric in self.settings.metrics):
             return ()
@@ -333,7 +333,9 @@
         waited_s = trio.current_time() - entry.arrived_at
         if not waits_too_long(waited_s, entry.rpc.expires_at - entry.arrived_at):
             return True
-        final = Final(Outcome.REFUSED, Cause.CAPACITY, False, advice_s(self.settings.limits, entry.rpc.key))
+        final = FinalAnswer(
+            Outcome.REFUSED, Cause.CAPACITY, False, advice_s(self.settings.limits, entry.rpc.key)
+        )
         self._finish(entry, final, f"decisions are {waited_s:.3f} s behind")
         self._forget_if_over(entry)
         return False
@@ -344,7 +346,7 @@
                 self._mailbox.post(TimerFired(what))
             elif not what.answered and not what.started:
                 # Guards the first rule: whatever the module does, the client hears before it gives up.
-                self._finish(what, Final(Outcome.FAILED, Cause.DEADLINE, what.may_have_run()))
+                self._finish(what, FinalAnswer(Outcome.FAILED, Cause.DEADLINE, what.may_have_run()))
                 self._abandon(what)
 
     def _decide(self, events: list[Event]) -> None:
@@ -357,7 +359,7 @@
             self._log("err", "MODULE", "the module failed", error=f"{type(error).__name__}: {error}")
             for event in events:
                 if isinstance(event, RequestArrived | AttemptEnded) and event.request in self.open:
-                    self._give_up(self.open[event.request], Final(Outcome.FAILED))
+                    self._give_up(self.open[event.request], FinalAnswer(Outcome.FAILED))
                 elif isinstance(event, ClientGone):
                     self._gone.pop(event.request, None)
                 elif isinstance(event, ReplicaList) and len(events) > 1:
@@ -408,7 +410,7 @@
             return
         left = entry.rpc.expires_at - trio.current_time()
         wait = min(timeout_s, left) if timeout_s > 0 else left
-        attempt = CallAttempt(
+        attempt = Attempt(
             entry.rpc,
             number,
             subchannel,
@@ -459,9 +461,9 @@
     def _end(self, request: str, outcome: Outcome, retry_after_s: float) -> None:
         entry = self.open.get(request)
         if entry is not None:
-            self._give_up(entry, Final(outcome, retry_after_s=retry_after_s))
+            self._give_up(entry, FinalAnswer(outcome, retry_after_s=retry_after_s))
 
-    def _give_up(self, entry: OpenRPC, final: Final) -> None:
+    def _give_up(self, entry: OpenRPC, final: FinalAnswer) -> None:
         """The module has ended it: the client hears at once."""
         if entry.answered:
             return
@@ -471,10 +473,10 @@
             cause = Cause.SERVER
         else:
             cause = Cause.CAPACITY
-        self._finish(entry, Final(final.outcome, cause, entry.may_have_run(), final.retry_after_s))
+        self._finish(entry, FinalAnswer(final.outcome, cause, entry.may_have_run(), final.retry_after_s))
         self._forget_if_over(entry)
 
-    def _finish(self, entry: OpenRPC, final: Final, reason: str = "") -> None:
+    def _finish(self, entry: OpenRPC, final: FinalAnswer, reason: str = "") -> None:
         self.audit.answered(
             entry.rpc.key,
             trio.current_time(),
--- a/sorreldock/routing/open_rpc.py
+++ b/sorreldock/routing/open_rpc.py
@@ -5,7 +5,7 @@
 import trio
 
 from ..interface import Status
-from .subchannel import CallAttempt
+from .subchannel import Attempt
 from .types import RPC
 
 NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NO_LISTENER, Status.NOT_SENT)
@@ -19,7 +19,7 @@
     def __init__(self, rpc: RPC) -> None:
         self.rpc = rpc
         self.arrived_at = trio.current_time()
-        self.attempts: list[CallAttempt | None] = []
+        self.attempts: list[Attempt | None] = []
         self.out = 0
         self.statuses: list[Status] = []
         self.first_run_at: float | None = None  # when the first attempt was made that may have run
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -6,8 +6,8 @@
 
 from ..hashing import key_of
 from ..interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
-from .subchannel import AttemptEnded, ProbeEnded, Subchannel, Update
-from .types import Connect, ResolverResult, Target
+from .subchannel import AttemptCallback, ProbeCallback, Subchannel, Update
+from .types import ResolverResult, ServerClientFactory, Target
 
 
 class ServerTable:
@@ -15,10 +15,10 @@
 
     def __init__(
         self,
-        connect: Connect,
+        connect: ServerClientFactory,
         probed_with: str,
-        on_ended: AttemptEnded,
-        on_probed: ProbeEnded,
+        on_ended: AttemptCallback,
+        on_probed: ProbeCallback,
         drain_grace_s: float,
     ) -> None:
         self.subchannels: dict[int, Subchannel] = {}
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -10,10 +10,10 @@
 
 from ..interface import Status
 from .permissions import LONGEST_GRACE_S, Denial, may_write, time_to_finish_writing
-from .types import RPC, Connect, Report, ServerClient, SinkClosed, Target
+from .types import RPC, AttemptResult, ServerClient, ServerClientFactory, SinkClosed, Target
 
 
-class CallAttempt:
+class Attempt:
     """One attempt of an RPC at one engine."""
 
     def __init__(
@@ -22,8 +22,8 @@
         number: int,
         subchannel: Subchannel,
         timeout_s: float,
-        on_first: FirstCallback,
-        wanted: Wanted,
+        on_first: FirstEventCallback,
+        wanted: ClientCheck,
         send_by: float = math.inf,
         on_written: WrittenCallback | None = None,
     ) -> None:
@@ -85,16 +85,16 @@
             self.scope.cancel()
 
 
-FirstCallback = Callable[[CallAttempt], None]
-WrittenCallback = Callable[[CallAttempt], None]
-Wanted = Callable[[RPC], bool]  # whether its client is still there
+FirstEventCallback = Callable[[Attempt], None]
+WrittenCallback = Callable[[Attempt], None]
+ClientCheck = Callable[[RPC], bool]  # whether its client is still there
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
     """Order to start a call attempt."""
 
-    attempt: CallAttempt
+    attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,10 +120,10 @@
         self,
         number: int,
         target: Target,
-        connect: Connect,
+        connect: ServerClientFactory,
         probed_with: str,
-        on_ended: AttemptEnded,
-        on_probed: ProbeEnded,
+        on_ended: AttemptCallback,
+        on_probed: ProbeCallback,
         drain_grace_s: float = LONGEST_GRACE_S,
     ) -> None:
         self.number = number
@@ -137,7 +137,7 @@
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._finish_writing_s = time_to_finish_writing(drain_grace_s)
-        self._out: dict[CallAttempt, None] = {}
+        self._out: dict[Attempt, None] = {}
         # Orders come from the module alone, so their number is bounded by the open RPCs and its probes.
         self._channel: tuple[trio.MemorySendChannel[Order], trio.MemoryReceiveChannel[Order]] | None = None
 
@@ -211,7 +211,7 @@
                             for client in self.clients.values():
                                 client.close_idle()
 
-    def _unwritten(self) -> list[CallAttempt]:
+    def _unwritten(self) -> list[Attempt]:
         return [attempt for attempt in self._out if not attempt.written]
 
     async def _stop_writing(self) -> None:
@@ -225,27 +225,29 @@
                 if attempt in self._out and not attempt.written:
                     attempt.give_up(Status.NOT_SENT)
 
-    async def _attempt(self, attempt: CallAttempt) -> None:
+    async def _attempt(self, attempt: Attempt) -> None:
         report = None
         client = self.clients.get(attempt.rpc.protocol)
         try:
             with attempt.scope:
                 if client is None:
-                    report = Report(Status.NOT_SENT, note="engine speaks another protocol")
+                    report = AttemptResult(Status.NOT_SENT, note="engine speaks another protocol")
                 elif attempt.given_up is None:
                     report = await client.call(attempt.rpc, attempt)
         except SinkClosed:
             late = attempt.scope.cancel_called and attempt.given_up is None
-            report = Report(Status.TIMEOUT) if late else Report(Status.CANCELLED, note="client gone")
+            report = (
+                AttemptResult(Status.TIMEOUT) if late else AttemptResult(Status.CANCELLED, note="client gone")
+            )
         except Exception as error:  # whatever a peer may provoke must not end the program
-            report = Report(Status.RESET, note=f"fault in the engine client: {error!r}")
+            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
         finally:
             self._out.pop(attempt, None)
         if report is None:
             status = attempt.given_up or Status.TIMEOUT
             if status is Status.NOT_SENT and attempt.written:  # its last byte went out in the same moment
                 status = Status.CANCELLED
-            report = Report(status)
+            report = AttemptResult(status)
         if report.status is Status.NOT_SENT and attempt.denied is not None:
             report = replace(report, note=attempt.denied.value)
         self._on_ended(attempt, report, trio.current_time() - attempt.made_at)
@@ -255,9 +257,11 @@
         try:
             report = await self.clients[self._probed_with].probe()
         except Exception as error:  # as above
-            report = Report(Status.RESET, note=f"fault in the engine client: {error!r}")
+            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
         self._on_probed(self, report, trio.current_time() - began)
 
 
-AttemptEnded = Callable[[CallAttempt, Report, float], None]  # with what came of it, and the seconds it took
-ProbeEnded = Callable[[Subchannel, Report, float], None]
+AttemptCallback = Callable[
+    [Attempt, AttemptResult, float], None
+]  # with what came of it, and the seconds it took
+ProbeCallback = Callable[[Subchannel, AttemptResult, float], None]
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalAnswer:
     """The final answer of an RPC, with its cause."""
 
     outcome: Outcome
     cause: Cause = Cause.NONE
     may_have_run: bool = False
     retry_after_s: float = 0.0
-    verdict: object = None  # what the engine said, for the front of the same protocol
+    server_status: object = None  # what the engine said, for the front of the same protocol
 
 
 class SinkClosed(Exception):
@@ -50,7 +50,7 @@
     async def event(self, data: bytes) -> None:
         """Pass a piece of the answer on; waits while the client is slow, SinkClosed when it has gone."""
 
-    def finish(self, final: Final) -> None: ...
+    def finish(self, final: FinalAnswer) -> None: ...
 
     def left(self) -> bool:
         """Whether the client has closed or cancelled, as far as a look without waiting tells."""
@@ -87,7 +87,7 @@
     """Another open RPC has this name."""
 
 
-class Router(Protocol):
+class RPCDispatcher(Protocol):
     """The core, as a front sees it."""
 
     def closed_owing(self, rpc: str, reason: str) -> None:
@@ -106,17 +106,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class AttemptResult:
     """How an attempt or a probe ended."""
 
     status: Status
     load: dict[Metric, float] = field(default_factory=dict)
     cached_tokens: int = 0
     note: str = ""
-    verdict: object = None  # the engine's own answer to a faulty request, to be passed on as it is
+    server_status: object = None  # the engine's own answer to a faulty request, to be passed on as it is
 
 
-class CallProgress(Protocol):
+class AttemptProgress(Protocol):
     """What an engine client tells of a call attempt while it is out."""
 
     def may_send(self) -> bool:
@@ -134,9 +134,9 @@
 class ServerClient(Protocol):
     """Speaks one protocol with one engine. A cancelled call gives the engine up by closing its connection."""
 
-    async def call(self, rpc: RPC, progress: CallProgress) -> Report: ...
+    async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult: ...
 
-    async def probe(self) -> Report: ...
+    async def probe(self) -> AttemptResult: ...
 
     def close_idle(self) -> None: ...
 
@@ -168,5 +168,5 @@
     version: int = 0
 
 
-Connect = Callable[[str], dict[str, ServerClient]]  # an endpoint's clients, by protocol
+ServerClientFactory = Callable[[str], dict[str, ServerClient]]  # an endpoint's clients, by protocol
 Log = Callable[..., None]  # (severity, message id, text, **structured data)
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -14,7 +14,7 @@
 from sorreldock.program import serve as program_serve
 from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
-from sorreldock.routing.subchannel import CallAttempt
+from sorreldock.routing.subchannel import Attempt
 from sorreldock.transport.budget import Descriptors
 from sorreldock.transport.connection import Connection
 
@@ -51,7 +51,7 @@
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
     for send_by, may in ((now - 0.001, False), (now + 60.0, True)):
-        attempt = CallAttempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
+        attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
         assert attempt.may_send() is may
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -27,7 +27,7 @@
 from sorreldock.routing import core as routing_core
 from sorreldock.routing.mailbox import ENTRIES_AT_ONCE, DecisionMailbox
 from sorreldock.routing.pace import LONGEST_WAIT_S, DecisionPace, waits_too_long
-from sorreldock.routing.types import Report
+from sorreldock.routing.types import AttemptResult
 
 DECISION_S = 0.02
 
@@ -127,7 +127,7 @@
         [subchannel] = [s for s in core.subchannels.values() if s.out]
         ended = subchannel._on_ended
 
-        def ended_and_left(attempt: Any, report: Report, latency_s: float) -> None:
+        def ended_and_left(attempt: Any, report: AttemptResult, latency_s: float) -> None:
             ended(attempt, report, latency_s)
             core.client_gone(attempt.rpc)
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,7 +22,7 @@
 from sorreldock.protocol import server_client
 from sorreldock.protocol.http import client as http_client
 from sorreldock.protocol.http import freshness
-from sorreldock.routing.subchannel import CallAttempt, Subchannel
+from sorreldock.routing.subchannel import Attempt, Subchannel
 from sorreldock.transport.connection import Connection
 from sorreldock.transport.pool import Pool
 
@@ -253,7 +253,7 @@
 async def test_an_attempt_whose_dial_ends_after_the_drain_is_not_sent_either() -> None:
     subchannel = SimpleNamespace(ready=True)
     there = [True]
-    attempt = CallAttempt(None, 0, subchannel, 1.0, print, lambda rpc: there[0])  # type: ignore[arg-type]
+    attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: there[0])  # type: ignore[arg-type]
     assert attempt.may_send()
     there[0] = False  # its client has left
     assert not attempt.may_send()
@@ -274,7 +274,7 @@
     target: Any = SimpleNamespace(endpoint="")
     clients: Any = {"http": Late()}
     subchannel = Subchannel(1, target, lambda _: clients, "http", lambda *told: got.append(told), print)
-    attempt = CallAttempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
+    attempt = Attempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
     await subchannel._attempt(attempt)
     assert got[0][1].status is Status.TIMEOUT and not attempt.started
 
