--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -44,12 +44,12 @@
 
     def both(self: Core, request: str, replica: int, timeout_s: float) -> None:
         start(self, request, replica, timeout_s)
-        entry = self.open.get(request)
+        entry = self.open_rpcs.get(request)
         others = [n for n, s in self.subchannels.items() if s.ready and n != replica]
-        if entry is not None and entry.out == 1 and len(entry.attempts) == 1 and others:
-            entry.out = 0
+        if entry is not None and entry.in_flight == 1 and len(entry.attempts) == 1 and others:
+            entry.in_flight = 0
             start(self, request, others[0], timeout_s)
-            entry.out += 1
+            entry.in_flight += 1
 
     return [(Core, "_start", both)]
 
@@ -67,16 +67,16 @@
 
 
 def _sends_after_drain() -> list[Patch]:
-    resolved = Core.resolved
+    apply_resolver_result = Core.apply_resolver_result
 
     def ready(self: Core, result: Any) -> None:
         targets = [
             t if t.state is ReplicaState.GONE else replace(t, state=ReplicaState.READY)
             for t in result.targets
         ]
-        resolved(self, replace(result, targets=tuple(targets)))
+        apply_resolver_result(self, replace(result, targets=tuple(targets)))
 
-    return [(Core, "resolved", ready)]
+    return [(Core, "apply_resolver_result", ready)]
 
 
 def _cold_overrun() -> list[Patch]:
@@ -161,18 +161,18 @@
 
 
 def _names_leak() -> list[Patch]:
-    forget = Core._forget_if_over
+    forget = Core._remove_if_complete
 
     def keeps(self: Core, entry: Any) -> None:
         names = set(self._names)
         forget(self, entry)
         self._names |= names
 
-    return [(Core, "_forget_if_over", keeps)]
+    return [(Core, "_remove_if_complete", keeps)]
 
 
 def _forgotten_end() -> list[Patch]:
-    return [(Core, "_too_late", lambda self, request, replica: None)]
+    return [(Core, "_report_unsent_attempt", lambda self, request, replica: None)]
 
 
 def _cut_at_stop() -> list[Patch]:
@@ -209,7 +209,9 @@
         lambda: [(server_client, "EVENT_GAP_TIMEOUT_S", 1e9), (server_client, "FIRST_EVENT_TIMEOUT_S", 1e9)],
     ),
     "keeps-idle": Mutant(
-        "idle connections outlive the program's end", "leak", lambda: [(Subchannel, "run", Subchannel._obey)]
+        "idle connections outlive the program's end",
+        "leak",
+        lambda: [(Subchannel, "run", Subchannel._process_orders)],
     ),
     "no-linger": Mutant("newcomers after SIGTERM are not taken", "final", lambda: [(serve, "LINGER_S", 0.0)]),
     "cut-at-stop": Mutant("a stopping router cuts what still streams", "whole", _cut_at_stop),
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -317,12 +317,12 @@
                 continue
             core, gateway = program.core, program.core._gateway
             left = {
-                "open RPCs": core.open,
+                "open RPCs": core.open_rpcs,
                 "names": core._names,
                 "requests in the module": gateway.requests,
                 "held in the module": gateway.held,
                 "timers": [what for what in core._timers if what != "ask"],
-                "attempts of engines": [s for s in core.subchannels.values() if s._out],
+                "attempts of engines": [s for s in core.subchannels.values() if s._in_flight],
                 "busy replicas": [r for r in gateway.replicas.values() if r.busy],
             }
             for what, held in left.items():
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -126,17 +126,17 @@
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.server_protocols else "kserve"
+        probe_protocol = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
             self._connect,
             self.log,
             most_open(config.memory_mb),
-            probed_with=probed_with,
+            probe_protocol=probe_protocol,
             wall=self.system.wall,
         )
-        self.core.resolved(config.known)
+        self.core.apply_resolver_result(config.known)
         self._open_fronts()
         for protocol, listener in self.listeners.items():
             self.addresses[protocol] = await listener.bind()
@@ -192,10 +192,10 @@
         for listener in self.listeners.values():
             await listener.ended.wait()
         while True:
-            await self.core.drained()
+            await self.core.wait_until_idle()
             for front in self.fronts.values():
                 await front.closed(CONNECTIONS_END_S)
-            if not self.core.open:
+            if not self.core.open_rpcs:
                 return
 
     def _open_fronts(self) -> None:
@@ -239,7 +239,7 @@
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
     def _resolved(self, result: ResolverResult) -> None:
-        self.core.resolved(result if self.takeover is None else self.takeover.took(result))
+        self.core.apply_resolver_result(result if self.takeover is None else self.takeover.took(result))
 
     def _in_company(self, others: bool) -> None:
         """Memory, like descriptors, is counted for both processes of a router together."""
@@ -247,7 +247,7 @@
         if others:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
         self.payloads.most = payload_bytes(memory_mb)
-        self.core.most_open = most_open(memory_mb)
+        self.core.max_open_rpcs = most_open(memory_mb)
 
     async def _signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -159,7 +159,7 @@
     def _take(self, state: dict[str, Any]) -> None:
         result = decode_result(state.get("list"), ListKind.CACHED)
         self._resolver.follow(result.version)
-        self._core.resolved(result)
+        self._core.apply_resolver_result(result)
         learned = state.get("learned")
         if isinstance(learned, dict):
             self._core.restore(learned)
@@ -227,7 +227,7 @@
             if why:
                 await link.send("fail", version=handover.VERSION, why=why)
                 return
-            listing = {**encode_result(self._core.listing()), "rev": self._resolver.version}
+            listing = {**encode_result(self._core.known_servers()), "rev": self._resolver.version}
             state: dict[str, Any] = {"version": handover.VERSION, "pid": self._pid, "list": listing}
             self._successor = link
             if not await link.send("state", None, **state, learned=self._core.snapshot()):
@@ -287,7 +287,7 @@
             for link in others:
                 for replica, count in link.out.items():
                     out[replica] = out.get(replica, 0) + count
-            self._core.out_elsewhere(out)
+            self._core.set_peer_attempts(out)
             used, leave = sum(link.used for link in others), all(link.leaving for link in others)
             usable = self._budget.usable_with(len(others))
             mine = sum(self._budget.used.values())
@@ -298,7 +298,7 @@
             if not self._leaving:
                 self._budget.let_go()
         else:
-            self._core.out_elsewhere({})
+            self._core.set_peer_attempts({})
             self._budget.share(None)
 
     async def _converse(self, link: Link, adopt: Callable[[int], None] | None) -> None:
@@ -327,7 +327,7 @@
             case "news":
                 result = decode_result(record.get("list"), ListKind.DELTA)
                 self._notices.heard(result)
-                self._core.resolved(result)
+                self._core.apply_resolver_result(result)
             case "connection":
                 if adopt is None:  # only a predecessor has any to pass on
                     os.close(descriptor)
@@ -342,7 +342,7 @@
                 ends = ResolverResult(ListKind.DELTA, tuple(target for _, target in told), version)
                 await link.send("news", list=encode_result(ends))
             self._agree()
-            out = {str(replica): count for replica, count in self._core.out().items()}
+            out = {str(replica): count for replica, count in self._core.attempts_in_flight().items()}
             used = sum(self._budget.used.values())
             if not await link.send("tell", used=used, leaving=self._leaving, out=out):
                 return
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -117,7 +117,7 @@
         except Exception as error:  # a peer's fault never ends the program
             self.log("err", "FRONT", "fault on a client connection", error=repr(error))
             if client.owes_answer:
-                self.core.closed_owing("", repr(error))
+                self.core.closed_without_answer("", repr(error))
         finally:
             del self.clients[client]
             self.queue.leave(client)
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -176,7 +176,7 @@
             )
             broken = self.final is not None and self.final.outcome is Outcome.BROKEN
             if not broken and not isinstance(error, ClientStalled) and not self.left():
-                self.front.core.closed_owing(self.rpc_key, str(error))
+                self.front.core.closed_without_answer(self.rpc_key, str(error))
 
     async def leave(self) -> None:
         """End the connection behind something that was just written. What still comes is nobody's any more,
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -72,21 +72,21 @@
         seed: int,
         connect: ServerClientFactory,
         log: Log,
-        most_open: int = 512,
-        probed_with: str = "http",
+        max_open_rpcs: int = 512,
+        probe_protocol: str = "http",
         wall: Callable[[], float] = time.time,
     ) -> None:
         self.settings = settings
         self.classes: Mapping[str, RequestClass] = {c.name: c for c in settings.classes}
         self.tenants: Collection[str] = {t.name for t in settings.tenants}
-        self.open: dict[str, OpenRPC] = {}
+        self.open_rpcs: dict[str, OpenRPC] = {}
         self._table = ServerTable(
-            connect, probed_with, self._attempt_ended, self._probe_ended, settings.guarantees.drain_grace_s
+            connect, probe_protocol, self._attempt_ended, self._probe_ended, settings.guarantees.drain_grace_s
         )
         self.subchannels = self._table.subchannels
         self._gateway = Gateway(settings, seed)
         self._log = log
-        self.most_open = most_open
+        self.max_open_rpcs = max_open_rpcs
         self._names: set[tuple[str, str]] = set()  # of the open RPCs
         self._arrived = 0
         self._timers: Timers[str | OpenRPC] = Timers()  # the module's tokens, and deadlines
@@ -108,7 +108,7 @@
 
     def submit(self, rpc: RPC) -> None:
         """Take an RPC; its sink gets exactly one final answer."""
-        if len(self.open) >= self.most_open:  # guards memory: every open RPC holds its payload
+        if len(self.open_rpcs) >= self.max_open_rpcs:  # guards memory: every open RPC holds its payload
             raise Overloaded
         if rpc.named_by_client:
             # Guards the first of the two: an engine knows them by their names, and would mix them up.
@@ -119,7 +119,7 @@
         # The module builds its timers' tokens from the id with colons, and an id may come twice.
         rpc.key = f"{rpc.name.replace(':', '_')}.{self._arrived}"
         rpc.expires_at = trio.current_time() + rpc.expires_in_s - min(MARGIN_S, 0.1 * rpc.expires_in_s)
-        entry = self.open[rpc.key] = OpenRPC(rpc)
+        entry = self.open_rpcs[rpc.key] = OpenRPC(rpc)
         self._timers.add(rpc.expires_at + OVERDUE_S, entry)
         self._mailbox.post(
             RequestArrived(
@@ -138,13 +138,13 @@
         )
 
     def client_gone(self, rpc: RPC, reason: str = "") -> None:
-        entry = self.open.get(rpc.key)
+        entry = self.open_rpcs.get(rpc.key)
         if entry is None or entry.answered:
             return
         self._finish(entry, FinalAnswer(Outcome.GONE), reason)
         self._abandon(entry)
 
-    def closed_owing(self, rpc: str, reason: str) -> None:
+    def closed_without_answer(self, rpc: str, reason: str) -> None:
         self.audit.expect(False, Rule.CLOSED_OWING, rpc, reason=reason)
 
     def _wanted(self, rpc: RPC) -> bool:
@@ -160,17 +160,17 @@
         for attempt in entry.attempts:
             if attempt is not None:
                 attempt.give_up(Status.CANCELLED)
-        self._forget_if_over(entry)
+        self._remove_if_complete(entry)
 
-    async def drained(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no RPC is open."""
-        while self.open:
+        while self.open_rpcs:
             self._idle = trio.Event()
             await self._idle.wait()
 
     # What the resolver calls.
 
-    def resolved(self, result: ResolverResult) -> None:
+    def apply_resolver_result(self, result: ResolverResult) -> None:
         """Take a resolver result: the subchannels follow at once, the module in its next batches."""
         whole = result.kind is not ListKind.DELTA
         change = self._table.apply(result, whole and self._module_failed)
@@ -181,13 +181,13 @@
 
     # What another process of the same router is told, and tells.
 
-    def listing(self) -> ResolverResult:
+    def known_servers(self) -> ResolverResult:
         """All servers as they are known."""
         return ResolverResult(ListKind.FULL, tuple(s.target for s in self.subchannels.values()))
 
-    def out(self) -> dict[int, int]:
+    def attempts_in_flight(self) -> dict[int, int]:
         """Call attempts out, by replica."""
-        return {number: s.out for number, s in self.subchannels.items() if s.out}
+        return {number: s.in_flight for number, s in self.subchannels.items() if s.in_flight}
 
     def snapshot(self) -> dict[str, Any]:
         return self._gateway.snapshot()
@@ -195,7 +195,7 @@
     def restore(self, learned: dict[str, Any]) -> None:
         self._mailbox.post(Learned(learned))
 
-    def out_elsewhere(self, counts: dict[int, int]) -> None:
+    def set_peer_attempts(self, counts: dict[int, int]) -> None:
         self._mailbox.post(OutElsewhere(counts))
 
     # What the call attempts tell.
@@ -206,19 +206,19 @@
         self._mailbox.post(FirstToken(attempt.rpc.key, attempt.number, attempt.subchannel.number, latency))
 
     def _attempt_written(self, attempt: Attempt) -> None:
-        entry = self.open[attempt.rpc.key]
+        entry = self.open_rpcs[attempt.rpc.key]
         self.audit.written(
             attempt.rpc.key,
             trio.current_time(),
             answered=entry.answered,
-            out=entry.out,
+            in_flight=entry.in_flight,
             expires_at=attempt.rpc.expires_at,
             drained_at=attempt.subchannel.drained_at,
         )
 
     def _attempt_ended(self, attempt: Attempt, report: AttemptResult, latency_s: float) -> None:
-        entry = self.open[attempt.rpc.key]
-        entry.out -= 1
+        entry = self.open_rpcs[attempt.rpc.key]
+        entry.in_flight -= 1
         entry.statuses.append(report.status)
         entry.attempts[attempt.number] = None
         if entry.first_run_at is None and report.status not in NEVER_RAN:
@@ -275,7 +275,7 @@
                 self._row(report),
             )
         )
-        self._forget_if_over(entry)
+        self._remove_if_complete(entry)
 
     def _probe_ended(self, subchannel: Subchannel, report: AttemptResult, latency_s: float) -> None:
         self._mailbox.post(ProbeEnded(subchannel.number, report.status, latency_s, self._row(report)))
@@ -312,7 +312,7 @@
         self._due()
         while events := self._mailbox.take(most):
             began = trio.current_time()
-            if events := [event for event in events if self._is_wanted(event)]:
+            if events := [event for event in events if self._should_decide(event)]:
                 self._decide(events)
             now = trio.current_time()
             most = 1 if now - began > SLICE_S else EVENTS_AT_ONCE
@@ -321,13 +321,13 @@
                 slice_began = trio.current_time()
                 self._due()
 
-    def _is_wanted(self, event: Event) -> bool:
+    def _should_decide(self, event: Event) -> bool:
         """Whether the module is to hear of it: a request that has ended meanwhile never reaches a server, and
         one that has waited too long is refused while its client can still go elsewhere.
         """
         if not isinstance(event, RequestArrived):
             return True
-        entry = self.open.get(event.request)
+        entry = self.open_rpcs.get(event.request)
         if entry is None or entry.answered:
             return False
         waited_s = trio.current_time() - entry.arrived_at
@@ -337,7 +337,7 @@
             Outcome.REFUSED, Cause.CAPACITY, False, advice_s(self.settings.limits, entry.rpc.key)
         )
         self._finish(entry, final, f"decisions are {waited_s:.3f} s behind")
-        self._forget_if_over(entry)
+        self._remove_if_complete(entry)
         return False
 
     def _due(self) -> None:
@@ -358,8 +358,8 @@
             self._module_failed = True
             self._log("err", "MODULE", "the module failed", error=f"{type(error).__name__}: {error}")
             for event in events:
-                if isinstance(event, RequestArrived | AttemptEnded) and event.request in self.open:
-                    self._give_up(self.open[event.request], FinalAnswer(Outcome.FAILED))
+                if isinstance(event, RequestArrived | AttemptEnded) and event.request in self.open_rpcs:
+                    self._give_up(self.open_rpcs[event.request], FinalAnswer(Outcome.FAILED))
                 elif isinstance(event, ClientGone):
                     self._gone.pop(event.request, None)
                 elif isinstance(event, ReplicaList) and len(events) > 1:
@@ -395,14 +395,14 @@
                     pass  # no platform that this program serves lets routers talk
 
     def _start(self, request: str, replica: int, timeout_s: float) -> None:
-        entry = self.open.get(request)
+        entry = self.open_rpcs.get(request)
         if entry is None or entry.answered:
-            self._too_late(request, replica)
+            self._report_unsent_attempt(request, replica)
             return
         number = len(entry.attempts)
         subchannel = self.subchannels.get(replica)
         ready = subchannel is not None and subchannel.ready
-        denied = may_begin(answered=entry.answered, others_out=entry.out, server_ready=ready)
+        denied = may_begin(answered=entry.answered, others_in_flight=entry.in_flight, server_ready=ready)
         if subchannel is None or denied is not None:  # the list may have changed under the module
             entry.attempts.append(None)
             entry.statuses.append(Status.NOT_SENT)
@@ -421,7 +421,7 @@
             self._attempt_written,
         )
         entry.attempts.append(attempt)
-        entry.out += 1
+        entry.in_flight += 1
         self._order(subchannel, Start(attempt))
 
     def _order(self, subchannel: Subchannel, order: Start | Probing) -> None:
@@ -443,7 +443,7 @@
             return math.inf
         return write_until(entry.first_run_at, rpc_class.dedup_window_s)
 
-    def _too_late(self, request: str, replica: int) -> None:
+    def _report_unsent_attempt(self, request: str, replica: int) -> None:
         """The module decided this attempt in the batch in which it heard that nobody waits. Guards its count
         of what is out: without a word of the end, the replica would look busy for ever.
         """
@@ -453,13 +453,13 @@
             self._mailbox.post(AttemptEnded(request, number, replica, Status.NOT_SENT, 0.0, True))
 
     def _cancel(self, request: str, number: int) -> None:
-        entry = self.open.get(request)
+        entry = self.open_rpcs.get(request)
         attempt = entry.attempts[number] if entry is not None and number < len(entry.attempts) else None
         if attempt is not None and not attempt.started:
             attempt.give_up(Status.CANCELLED)
 
     def _end(self, request: str, outcome: Outcome, retry_after_s: float) -> None:
-        entry = self.open.get(request)
+        entry = self.open_rpcs.get(request)
         if entry is not None:
             self._give_up(entry, FinalAnswer(outcome, retry_after_s=retry_after_s))
 
@@ -474,7 +474,7 @@
         else:
             cause = Cause.CAPACITY
         self._finish(entry, FinalAnswer(final.outcome, cause, entry.may_have_run(), final.retry_after_s))
-        self._forget_if_over(entry)
+        self._remove_if_complete(entry)
 
     def _finish(self, entry: OpenRPC, final: FinalAnswer, reason: str = "") -> None:
         self.audit.answered(
@@ -502,9 +502,9 @@
                 reason=reason,
             )
 
-    def _forget_if_over(self, entry: OpenRPC) -> None:
-        if entry.answered and not entry.out:
-            if self.open.pop(entry.rpc.key, None) is not None and entry.rpc.named_by_client:
+    def _remove_if_complete(self, entry: OpenRPC) -> None:
+        if entry.answered and not entry.in_flight:
+            if self.open_rpcs.pop(entry.rpc.key, None) is not None and entry.rpc.named_by_client:
                 self._names.discard((entry.rpc.protocol, entry.rpc.name))
-            if not self.open:
+            if not self.open_rpcs:
                 self._idle.set()
--- a/sorreldock/routing/open_rpc.py
+++ b/sorreldock/routing/open_rpc.py
@@ -14,13 +14,13 @@
 class OpenRPC:
     """An RPC from its arrival to its one final answer, and until its last attempt has ended."""
 
-    __slots__ = ("answered", "arrived_at", "attempts", "first_run_at", "out", "rpc", "statuses")
+    __slots__ = ("answered", "arrived_at", "attempts", "first_run_at", "in_flight", "rpc", "statuses")
 
     def __init__(self, rpc: RPC) -> None:
         self.rpc = rpc
         self.arrived_at = trio.current_time()
         self.attempts: list[Attempt | None] = []
-        self.out = 0
+        self.in_flight = 0
         self.statuses: list[Status] = []
         self.first_run_at: float | None = None  # when the first attempt was made that may have run
         self.answered = False
--- a/sorreldock/routing/permissions.py
+++ b/sorreldock/routing/permissions.py
@@ -47,11 +47,11 @@
     CLOSED_OWING = "a connection was closed with an answer owed"
 
 
-def may_begin(*, answered: bool, others_out: int, server_ready: bool) -> Denial | None:
+def may_begin(*, answered: bool, others_in_flight: int, server_ready: bool) -> Denial | None:
     """Decide whether an attempt may be started: None, or why not."""
     if answered:
         return Denial.ANSWERED
-    if others_out:
+    if others_in_flight:
         return Denial.ANOTHER_OUT
     return None if server_ready else Denial.NOT_READY
 
@@ -92,21 +92,28 @@
 
     def __init__(self, log: Log) -> None:
         self._log = log
-        self.broken: Counter[Rule] = Counter()
+        self.violations: Counter[Rule] = Counter()
 
     def expect(self, kept: bool, rule: Rule, rpc: str, **data: object) -> None:
         """Note a break of the rule unless it was kept."""
         if not kept:
-            self.broken[rule] += 1
+            self.violations[rule] += 1
             self._log(
-                "err", "VIOLATION", rule.value, rule=rule.name, rpc=rpc, count=self.broken[rule], **data
+                "err", "VIOLATION", rule.value, rule=rule.name, rpc=rpc, count=self.violations[rule], **data
             )
 
     def written(
-        self, rpc: str, now: float, *, answered: bool, out: int, expires_at: float, drained_at: float | None
+        self,
+        rpc: str,
+        now: float,
+        *,
+        answered: bool,
+        in_flight: int,
+        expires_at: float,
+        drained_at: float | None,
     ) -> None:
         """Check an attempt whose last byte was written now."""
-        self.expect(out <= 1, Rule.TWO_OUT, rpc, out=out)
+        self.expect(in_flight <= 1, Rule.TWO_OUT, rpc, out=in_flight)
         self.expect(not answered, Rule.SENT_ANSWERED, rpc)
         self.expect(now <= expires_at + SENT_LATE_S, Rule.SENT_EXPIRED, rpc, late_s=now - expires_at)
         drained_s = 0.0 if drained_at is None else now - drained_at
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -16,14 +16,14 @@
     def __init__(
         self,
         connect: ServerClientFactory,
-        probed_with: str,
+        probe_protocol: str,
         on_ended: AttemptCallback,
         on_probed: ProbeCallback,
         drain_grace_s: float,
     ) -> None:
         self.subchannels: dict[int, Subchannel] = {}
         self._connect = connect
-        self._probed_with = probed_with
+        self._probed_with = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._drain_grace_s = drain_grace_s
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -121,7 +121,7 @@
         number: int,
         target: Target,
         connect: ServerClientFactory,
-        probed_with: str,
+        probe_protocol: str,
         on_ended: AttemptCallback,
         on_probed: ProbeCallback,
         drain_grace_s: float = LONGEST_GRACE_S,
@@ -133,11 +133,11 @@
         self.running = False  # its actor: from its first order on, since most of a large fleet is never used
         self._connect = connect
         self._clients: dict[str, ServerClient] | None = None
-        self._probed_with = probed_with
+        self._probed_with = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._finish_writing_s = time_to_finish_writing(drain_grace_s)
-        self._out: dict[Attempt, None] = {}
+        self._in_flight: dict[Attempt, None] = {}
         # Orders come from the module alone, so their number is bounded by the open RPCs and its probes.
         self._channel: tuple[trio.MemorySendChannel[Order], trio.MemoryReceiveChannel[Order]] | None = None
 
@@ -166,8 +166,8 @@
         return self._channel
 
     @property
-    def out(self) -> int:
-        return len(self._out)
+    def in_flight(self) -> int:
+        return len(self._in_flight)
 
     def post(self, order: Order) -> None:
         """Give the actor an order. One that does not run has nothing that a change could concern."""
@@ -186,23 +186,23 @@
 
     async def run(self) -> None:
         try:
-            await self._obey()
+            await self._process_orders()
         finally:  # told to end, or the program ends: nothing idle stays open
             for client in self.clients.values():
                 client.discard()
 
-    async def _obey(self) -> None:
+    async def _process_orders(self) -> None:
         async with trio.open_nursery() as attempts:
             async for order in self._orders[1]:
                 match order:
                     case Start(attempt):
-                        self._out[attempt] = None
+                        self._in_flight[attempt] = None
                         attempts.start_soon(self._attempt, attempt)
                     case Probing():
                         attempts.start_soon(self._probe)
                     case Update(ready, restarted):
                         if not ready:
-                            for attempt in self._out:
+                            for attempt in self._in_flight:
                                 if not attempt.sending:
                                     attempt.give_up(Status.NOT_SENT)
                             if self._unwritten():
@@ -212,7 +212,7 @@
                                 client.close_idle()
 
     def _unwritten(self) -> list[Attempt]:
-        return [attempt for attempt in self._out if not attempt.written]
+        return [attempt for attempt in self._in_flight if not attempt.written]
 
     async def _stop_writing(self) -> None:
         """Guards the drain rule: a request whose bytes still go out has not run, and counts with its last
@@ -222,7 +222,7 @@
         await trio.sleep(self._finish_writing_s)
         if not self.ready:
             for attempt in begun:
-                if attempt in self._out and not attempt.written:
+                if attempt in self._in_flight and not attempt.written:
                     attempt.give_up(Status.NOT_SENT)
 
     async def _attempt(self, attempt: Attempt) -> None:
@@ -242,7 +242,7 @@
         except Exception as error:  # whatever a peer may provoke must not end the program
             report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
         finally:
-            self._out.pop(attempt, None)
+            self._in_flight.pop(attempt, None)
         if report is None:
             status = attempt.given_up or Status.TIMEOUT
             if status is Status.NOT_SENT and attempt.written:  # its last byte went out in the same moment
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -90,7 +90,7 @@
 class RPCDispatcher(Protocol):
     """The core, as a front sees it."""
 
-    def closed_owing(self, rpc: str, reason: str) -> None:
+    def closed_without_answer(self, rpc: str, reason: str) -> None:
         """A connection ended with an answer owed though its client had not left."""
 
     classes: Mapping[str, RequestClass]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -96,7 +96,7 @@
         core = router.program.core
         told = slow_decisions(core)
         wires = await burst(router, 30, b"5000m")
-        while len(core.open) < 30:
+        while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
         discovery.tell(e0="Terminating")
         last = core._mailbox._requests[-1].request
@@ -122,9 +122,9 @@
     async with among(first, second) as router:
         core = router.program.core
         wire = await router.start_post()
-        while not any(subchannel.out for subchannel in core.subchannels.values()):
+        while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
             await trio.sleep(0.001)
-        [subchannel] = [s for s in core.subchannels.values() if s.out]
+        [subchannel] = [s for s in core.subchannels.values() if s.in_flight]
         ended = subchannel._on_ended
 
         def ended_and_left(attempt: Any, report: AttemptResult, latency_s: float) -> None:
@@ -133,7 +133,7 @@
 
         subchannel._on_ended = ended_and_left
         release.set()
-        while core.open:
+        while core.open_rpcs:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
         assert core._gateway.everywhere.busy == 0 and not core._gateway.requests
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -242,7 +242,7 @@
 
                 nursery.start_soon(ask)
                 core = router.program.core
-                while not any(entry.out for entry in core.open.values()):
+                while not any(entry.in_flight for entry in core.open_rpcs.values()):
                     await trio.sleep(0.005)
                 discovery.engines = (hung, good)
                 discovery.tell(e0="Terminating")
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -70,7 +70,7 @@
             for number in range(20):
                 nursery.start_soon(http, number)
                 nursery.start_soon(kserve, number)
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
     names = Counter(call.headers["x-trace-id"] for e in engines for call in e.calls)
@@ -192,7 +192,7 @@
         await client.cancel(stream)
         [call] = engine.grpc_calls
         await call.until(lambda: call.end.closed)
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         engine.grpc_script = serve_well
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -117,7 +117,7 @@
         with trio.fail_after(1.0):
             assert (await router.post(x_expires_in="200m")).status == 504
         assert trio.current_time() - began >= 0.15
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
 
 
 @story
@@ -197,7 +197,7 @@
         async with trio.open_nursery() as nursery:
             for k in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         assert router.program.budget.used[Use.ENGINE] == 4
 
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -54,22 +54,22 @@
 
 
 def test_what_forbids_an_attempt() -> None:
-    assert may_begin(answered=False, others_out=0, server_ready=True) is None
-    assert may_begin(answered=True, others_out=0, server_ready=True) is Denial.ANSWERED
-    assert may_begin(answered=False, others_out=1, server_ready=True) is Denial.ANOTHER_OUT
-    assert may_begin(answered=False, others_out=0, server_ready=False) is Denial.NOT_READY
+    assert may_begin(answered=False, others_in_flight=0, server_ready=True) is None
+    assert may_begin(answered=True, others_in_flight=0, server_ready=True) is Denial.ANSWERED
+    assert may_begin(answered=False, others_in_flight=1, server_ready=True) is Denial.ANOTHER_OUT
+    assert may_begin(answered=False, others_in_flight=0, server_ready=False) is Denial.NOT_READY
     assert write_until(1.0, 0.1) == 1.0 and write_until(1.0, 2.0) == pytest.approx(2.85)
 
 
 def test_the_audit_counts_and_logs_each_rule_that_was_broken() -> None:
     records: list[tuple[Any, ...]] = []
     audit = Audit(lambda *words, **data: records.append((*words, data["rule"])))
-    audit.written("r1", 1.0, answered=False, out=1, expires_at=2.0, drained_at=0.9)
+    audit.written("r1", 1.0, answered=False, in_flight=1, expires_at=2.0, drained_at=0.9)
     audit.answered("r1", 1.5, again=False, begun=False, expires_at=2.0, outcome=Outcome.REFUSED)
-    assert not audit.broken and not records
-    audit.written("r2", 3.0, answered=True, out=2, expires_at=2.0, drained_at=2.0)
+    assert not audit.violations and not records
+    audit.written("r2", 3.0, answered=True, in_flight=2, expires_at=2.0, drained_at=2.0)
     audit.answered("r2", 3.0, again=True, begun=False, expires_at=2.0, outcome=Outcome.FAILED)
-    assert set(audit.broken) == set(Rule) - {Rule.CLOSED_OWING} and len(records) == len(audit.broken)
+    assert set(audit.violations) == set(Rule) - {Rule.CLOSED_OWING} and len(records) == len(audit.violations)
     assert all(record[:2] == ("err", "VIOLATION") for record in records)
 
 
@@ -88,7 +88,7 @@
             assert (await all_of(wire.stream)).startswith(b"HTTP/1.1 500")
             await wire.stream.aclose()
         assert (await router.post(x_trace_id="next")).status == 200
-        assert set(router.program.core.audit.broken) <= {Rule.CLOSED_OWING}
+        assert set(router.program.core.audit.violations) <= {Rule.CLOSED_OWING}
 
 
 @story
@@ -103,7 +103,7 @@
         await wire.stream.aclose()
         while router.program.fronts["http"].clients:
             await trio.sleep(0.005)
-        assert not router.program.core.audit.broken
+        assert not router.program.core.audit.violations
 
 
 # What a failed system call says.
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -399,7 +399,7 @@
 
 
 async def begins_anew(self: Program) -> None:
-    await self.core.drained()
+    await self.core.wait_until_idle()
     with trio.move_on_after(2.0):  # without heed of what is owed, which `Front.closed` waits for now
         while any(front.clients for front in self.fronts.values()):
             await trio.sleep(0.01)
@@ -412,7 +412,7 @@
 
 
 def as_it_came(self: Core, event: Event) -> bool:
-    self._too_late = lambda request, replica: None  # type: ignore[method-assign]
+    self._report_unsent_attempt = lambda request, replica: None  # type: ignore[method-assign]
     return True
 
 
@@ -420,9 +420,10 @@
     str, tuple[object, str, object, str]
 ] = {  # each fix taken out again, and the rule that then breaks
     "half-written-drain": (Subchannel, "_stop_writing", lambda self: trio.lowlevel.checkpoint(), "drain"),
-    "idle-at-the-end": (Subchannel, "run", Subchannel._obey, "leak"),
-    # A request whose client has left is kept from the module, too; `_too_late` alone: test_decisions.py.
-    "left-before-sent": (Core, "_is_wanted", as_it_came, "leak"),
+    "idle-at-the-end": (Subchannel, "run", Subchannel._process_orders, "leak"),
+    # A request whose client has left is kept from the module, too; `_report_unsent_attempt` alone is covered by
+    # test_decisions.py.
+    "left-before-sent": (Core, "_should_decide", as_it_came, "leak"),
     "reset-after-goaway": (kserve_connection, "suppress", lambda *errors: nullcontext(), "whole"),
     "whole-before-close": (Exchange, "step", steps_and_fails, "whole"),
     "call-to-a-drained-router": (kserve_connection.ClientConnection, "greeted", greets_as_ever, "rest"),
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -209,13 +209,13 @@
     uids: set[str] = field(default_factory=set)
     counts: dict[int, int] = field(default_factory=dict)
 
-    def resolved(self, result: ResolverResult) -> None:
+    def apply_resolver_result(self, result: ResolverResult) -> None:
         self.uids |= {t.uid for t in result.targets if t.state is ReplicaState.DRAINING}
 
-    def out(self) -> dict[int, int]:
+    def attempts_in_flight(self) -> dict[int, int]:
         return {7: 2}
 
-    def out_elsewhere(self, counts: dict[int, int]) -> None:
+    def set_peer_attempts(self, counts: dict[int, int]) -> None:
         self.counts = counts
 
 
