--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -106,7 +106,7 @@
 
 
 def _reordered() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
     held: dict[Any, bytes] = {}
 
     async def swaps(self: ClientConnection, data: bytes) -> None:
@@ -115,27 +115,27 @@
             return
         await event(self, data + held.pop(self, b""))
 
-    return [(ClientConnection, "event", swaps)]
+    return [(ClientConnection, "send_event", swaps)]
 
 
 def _dropped() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
 
     async def drops(self: ClientConnection, data: bytes) -> None:
         if b'"w2 "' not in data:
             await event(self, data)
 
-    return [(ClientConnection, "event", drops)]
+    return [(ClientConnection, "send_event", drops)]
 
 
 def _held() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
 
     async def later(self: ClientConnection, data: bytes) -> None:
         await trio.sleep(0.06)
         await event(self, data)
 
-    return [(ClientConnection, "event", later)]
+    return [(ClientConnection, "send_event", later)]
 
 
 def _descriptor_leak() -> list[Patch]:
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -171,7 +171,7 @@
             headers=[
                 (b"host", self._host),
                 (b"x-trace-id", payload.trace_id),
-                (b"x-expires-in", b"%du" % max(int(progress.wait_s() * 1e6), 1)),
+                (b"x-expires-in", b"%du" % max(int(progress.first_event_timeout_s() * 1e6), 1)),
                 (b"content-type", payload.content_type),
                 (b"content-length", b"%d" % len(payload.body)),
                 *payload.other_fields,
@@ -201,7 +201,7 @@
                     event = await exchange.next_event()
                     if isinstance(event, h11.EndOfMessage):
                         if rest := events.rest():
-                            await progress.event(rest)
+                            await progress.forward_event(rest)
                         return AttemptResult(Status.OK, events.load, events.cached_tokens)
                     if not isinstance(event, h11.Data):
                         raise ConnectionLost("the stream was cut off")
@@ -216,7 +216,7 @@
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
             limit = server_client.EVENT_GAP_TIMEOUT_S
-            await progress.event(whole)
+            await progress.forward_event(whole)
 
     async def ask_load(self, line: ServerConnection) -> AttemptResult:
         await line.send(h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)]))
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -86,7 +86,7 @@
 
     # The core's side.
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         if self.final is not None:
             raise SinkClosed
         out = b""
@@ -103,7 +103,7 @@
         self.final = final
         self.finished.set()
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         return self.connection.ended()
 
     # The wire's side.
@@ -175,7 +175,7 @@
                 reason=f"{type(error).__name__}: {error}",
             )
             broken = self.final is not None and self.final.outcome is Outcome.BROKEN
-            if not broken and not isinstance(error, ClientStalled) and not self.left():
+            if not broken and not isinstance(error, ClientStalled) and not self.has_client_left():
                 self.front.core.closed_without_answer(self.rpc_key, str(error))
 
     async def leave(self) -> None:
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -52,7 +52,7 @@
 
     # The core's side.
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         if self.final is not None or self.reset:
             raise SinkClosed
         self.release()  # an answer has begun: the core has let the payload go
@@ -65,7 +65,7 @@
         self.final = final
         self.finished.set()
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         return self.reset or self.client.wire.connection.closed_by_peer
 
     # The wire's side.
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -192,7 +192,9 @@
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with faults():
-            exchange = line.open(payload.method, self._address, progress.wait_s(), payload.metadata)
+            exchange = line.open(
+                payload.method, self._address, progress.first_event_timeout_s(), payload.metadata
+            )
             await exchange.send(frame(payload.message))
         return exchange
 
@@ -209,7 +211,7 @@
             if message is None:
                 return self._ending(exchange, started)
             started = True
-            await progress.event(message)
+            await progress.forward_event(message)
 
     @staticmethod
     def _ending(exchange: Exchange, started: bool) -> AttemptResult:
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -80,7 +80,7 @@
             except (ConnectionLost, ServerProtocolError) as error:
                 # Its last byte was not written: it never ran, and the transport never sends it again.
                 return AttemptResult(Status.CONNECT_FAILED, note=str(error))
-            progress.sent()
+            progress.mark_written()
             try:
                 report = await self.answer(exchange, progress)
             except RequestNotProcessed as error:
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -148,7 +148,7 @@
         self.audit.expect(False, Rule.CLOSED_OWING, rpc, reason=reason)
 
     def _wanted(self, rpc: RPC) -> bool:
-        if rpc.sink.left():
+        if rpc.sink.has_client_left():
             self.client_gone(rpc, "seen before an attempt")
             return False
         return True
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -60,15 +60,15 @@
         self.sending = self.denied is None
         return self.sending
 
-    def sent(self) -> None:
+    def mark_written(self) -> None:
         self.written = True
         if self._on_written is not None:
             self._on_written(self)
 
-    def wait_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         return self._wait_s
 
-    async def event(self, data: bytes) -> None:
+    async def forward_event(self, data: bytes) -> None:
         if not self.started:
             # Too late: the core has given the final answer, or the deadline fired in the moment in which this
             # came. Guards the client: its answer would begin and be cut off by that very deadline.
@@ -77,7 +77,7 @@
             self.started = True
             self.scope.deadline = math.inf  # once an answer has begun, it has no deadline
             self._on_first(self)
-        await self.rpc.sink.event(data)
+        await self.rpc.sink.send_event(data)
 
     def give_up(self, status: Status) -> None:
         if self.given_up is None:
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -47,12 +47,12 @@
 class EventSink(Protocol):
     """Where a front takes an answer. `finish` is called exactly once."""
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         """Pass a piece of the answer on; waits while the client is slow, SinkClosed when it has gone."""
 
     def finish(self, final: FinalAnswer) -> None: ...
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         """Whether the client has closed or cancelled, as far as a look without waiting tells."""
 
 
@@ -122,13 +122,13 @@
     def may_send(self) -> bool:
         """Asked right before the first byte is written."""
 
-    def sent(self) -> None:
+    def mark_written(self) -> None:
         """Told once the last byte is written: from now on the request may run."""
 
-    def wait_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         """For how long the router will wait for the first event, from the moment of that question."""
 
-    async def event(self, data: bytes) -> None: ...
+    async def forward_event(self, data: bytes) -> None: ...
 
 
 class ServerClient(Protocol):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -269,7 +269,7 @@
     class Late:
         async def call(self, rpc: Any, progress: Any) -> Any:
             time.sleep(0.02)  # the program is busy; nothing else runs
-            await progress.event(EVENTS[0])
+            await progress.forward_event(EVENTS[0])
 
     target: Any = SimpleNamespace(endpoint="")
     clients: Any = {"http": Late()}
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -339,9 +339,11 @@
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
         [stream] = connection.streams.values()
-        assert not stream.left()
+        assert not stream.has_client_left()
         client.end.stream.socket.close()  # type: ignore[attr-defined]
-        assert stream.left() and connection.streams  # nothing has run since: its reader has not heard
+        assert (
+            stream.has_client_left() and connection.streams
+        )  # nothing has run since: its reader has not heard
 
 
 @story
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -421,7 +421,7 @@
 ] = {  # each fix taken out again, and the rule that then breaks
     "half-written-drain": (Subchannel, "_stop_writing", lambda self: trio.lowlevel.checkpoint(), "drain"),
     "idle-at-the-end": (Subchannel, "run", Subchannel._process_orders, "leak"),
-    # A request whose client has left is kept from the module, too; `_report_unsent_attempt` alone is covered by
+    # A request whose client has left is kept from the module, too; `_report_unsent_attempt` alone:
     # test_decisions.py.
     "left-before-sent": (Core, "_should_decide", as_it_came, "leak"),
     "reset-after-goaway": (kserve_connection, "suppress", lambda *errors: nullcontext(), "whole"),
