--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -179,7 +179,7 @@
     async def at_once(self: Any, within_s: float) -> None:
         await trio.lowlevel.checkpoint()
 
-    return [(serve, "DRAIN_S", 0.0), (Front, "closed", at_once)]
+    return [(serve, "DRAIN_S", 0.0), (Front, "wait_closed", at_once)]
 
 
 MUTANTS: dict[str, Mutant] = {
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -157,7 +157,7 @@
                 with trio.move_on_after(LISTED_S):
                     await self.resolver.listed.wait()
             for front in self.fronts.values():
-                nursery.start_soon(front.tell_shed)
+                nursery.start_soon(front.log_evictions)
             for protocol, listener in self.listeners.items():
                 nursery.start_soon(listener.serve, nursery, self.fronts[protocol].handle)
             self.lifecycle.enter(Phase.SERVING)
@@ -165,7 +165,7 @@
             await self.lifecycle.stop_asked.wait()
             self.calls.stop()
             for front in self.fronts.values():
-                front.refuse_from = trio.current_time() + LAST_TAKEN_S
+                front.refuse_requests_from = trio.current_time() + LAST_TAKEN_S
             self.lifecycle.enter(Phase.LINGERING)
             if config.inherited_fd is not None:  # who comes now is for the process that follows
                 self.listeners["http"].close()
@@ -194,7 +194,7 @@
         while True:
             await self.core.wait_until_idle()
             for front in self.fronts.values():
-                await front.closed(CONNECTIONS_END_S)
+                await front.wait_closed(CONNECTIONS_END_S)
             if not self.core.open_rpcs:
                 return
 
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -242,7 +242,7 @@
             if self._successor is link:
                 self._successor = None
                 if self._front is not None:  # nobody takes them any more: answers say that they end
-                    self._front.passed_on = None
+                    self._front.pass_connection = None
             link.close()
 
     def leave(self, front: Front[Any]) -> bool:
@@ -250,7 +250,7 @@
         if self._successor is None:
             return False
         self._leaving, self._front = True, front
-        front.passed_on = self._pass_on
+        front.pass_connection = self._pass_on
         for link in self._links:
             link.wake.set()
         return True
@@ -357,6 +357,6 @@
 
     def adopt(descriptor: int) -> None:
         budget.adopt(Use.CLIENT)
-        listener.adopt(descriptor, nursery, front.handle_kept)
+        listener.adopt(descriptor, nursery, front.handle_passed_connection)
 
     return adopt
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -34,8 +34,8 @@
 class Client(Protocol):
     """The actor of one client connection."""
 
-    spoken: bool  # whether it has ever sent a request
-    held_bytes: int  # of the payload budget, for what has come of a request
+    has_sent_request: bool  # whether it has ever sent a request
+    reserved_bytes: int  # of the payload budget, for what has come of a request
 
     @property
     def stage(self) -> Stage: ...
@@ -53,7 +53,7 @@
 
     async def run(self) -> None: ...
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         """Close, at once: no whole request has been taken."""
 
     def close_if_idle(self) -> bool:
@@ -79,16 +79,16 @@
         self.payloads = payloads
         self.clients: dict[C, None] = {}  # in order of their coming: a replay asks them alike
         # Where a kill will follow: what is whole from then on could not be answered to its end before it.
-        self.refuse_from = math.inf
+        self.refuse_requests_from = math.inf
         # Set once another process takes connections over that are between requests; tells whether it did.
-        self.passed_on: Callable[[Connection], Awaitable[bool]] | None = None
+        self.pass_connection: Callable[[Connection], Awaitable[bool]] | None = None
         self.log = log
         self.queue: EvictionQueue[C] = EvictionQueue()  # of those that may make room
         self.shed: Counter[str] = Counter()  # connections that made room, by stage
-        budget.evictors[Use.CLIENT].append(self.make_room)
+        budget.evictors[Use.CLIENT].append(self.evict_clients)
 
     @abstractmethod
-    def attend(self, connection: Connection) -> C:
+    def create_client(self, connection: Connection) -> C:
         """The actor for a new connection."""
 
     @abstractmethod
@@ -103,13 +103,13 @@
     def resume(self) -> None:
         """The drain was an operator's, and is over: as before `linger`."""
 
-    async def handle_kept(self, connection: Connection) -> None:
+    async def handle_passed_connection(self, connection: Connection) -> None:
         """A connection that another process has served so far."""
         await self.handle(connection, True)
 
-    async def handle(self, connection: Connection, spoken: bool = False) -> None:
-        client = self.attend(connection)
-        client.spoken = spoken
+    async def handle(self, connection: Connection, has_sent_request: bool = False) -> None:
+        client = self.create_client(connection)
+        client.has_sent_request = has_sent_request
         self.clients[client] = None
         self.queue.enter(client)
         try:
@@ -123,40 +123,42 @@
             self.queue.leave(client)
 
     @property
-    def refuses(self) -> bool:
+    def is_refusing(self) -> bool:
         """Whether a request that is whole now comes too late to be taken."""
-        return trio.current_time() >= self.refuse_from
+        return trio.current_time() >= self.refuse_requests_from
 
-    def make_room(self) -> bool:
+    def evict_clients(self) -> bool:
         """Close a client connection for a newcomer, or some; tells whether there was one."""
         shed = [c for c in self.queue.evictable(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable]
         for client in shed:
             self.shed[client.stage.value] += 1
-            client.make_room()
+            client.evict()
         return bool(shed)
 
-    def hold(self, client: C, count: int) -> bool:
+    def reserve_payload(self, client: C, count: int) -> bool:
         """Room in memory for bytes of a request. Guards requests that go on against those that have stopped
         half way: the one that has been silent longest lets go of its bytes.
         """
         while not self.payloads.take(count):
-            others = (c for c in self.clients if c.stage is Stage.HALF and c.held_bytes and c is not client)
+            others = (
+                c for c in self.clients if c.stage is Stage.HALF and c.reserved_bytes and c is not client
+            )
             stopped = evictable(others, trio.current_time(), 1)
             if not stopped or stopped[0].readable:
                 return False
             self.shed["payload"] += 1
-            stopped[0].make_room()
-        client.held_bytes += count
+            stopped[0].evict()
+        client.reserved_bytes += count
         return True
 
-    async def tell_shed(self) -> None:
+    async def log_evictions(self) -> None:
         while True:
             await trio.sleep(1.0)
             if self.shed:
                 counts, self.shed = self.shed, Counter()
                 self.log("notice", "CROWD", "connections closed to make room", **counts)
 
-    async def closed(self, within_s: float) -> None:
+    async def wait_closed(self, within_s: float) -> None:
         """Wait until the last answer has been written, and then so long for the connections to end."""
         while any(client.owes_answer for client in self.clients):
             await trio.sleep(CLOSE_POLL_S)
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -50,8 +50,8 @@
         self.waiting: trio.CancelScope | None = None
         self.connected_at = trio.current_time()
         self.stage, self.since = Stage.SILENT, self.connected_at
-        self.spoken = self.hung_up = False
-        self.held_bytes = self.ahead_bytes = 0
+        self.has_sent_request = self.hung_up = False
+        self.reserved_bytes = self.ahead_bytes = 0
         self.arrivals = Arrivals(self.connected_at)
         self.dropping = False  # more was sent ahead than is kept: what comes now is read and dropped
         self.final: FinalAnswer | None = None
@@ -75,7 +75,7 @@
     def readable(self) -> bool:
         return self.connection.readable
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         self.connection.close()
         self.release_body()
         self.reach(Stage.TAKEN)  # of its own end; nothing more to give
@@ -118,12 +118,12 @@
             raise ClientStalled("the client takes nothing")
 
     def closing(self) -> list[tuple[bytes, bytes]]:
-        ends = self.front.draining and self.front.passed_on is None
+        ends = self.front.draining and self.front.pass_connection is None
         return [(b"connection", b"close")] if ends else []
 
     def release_body(self) -> None:
-        self.front.payloads.give_back(self.held_bytes)
-        self.held_bytes = 0
+        self.front.payloads.give_back(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     def release_ahead(self) -> None:
         """What was sent ahead is parsed, or nobody's any longer."""
@@ -138,7 +138,7 @@
                     if request is None:
                         await self.pass_on()
                         return
-                    await self.attend(request)
+                    await self.handle_request(request)
                 except Answered as answer:
                     await self.answer(answer.status, answer.text, answer.headers)
                 finally:
@@ -149,7 +149,7 @@
                 self.parser.start_next_cycle()
                 if self.front.closing and not self.begun():  # what has come of a request is answered
                     await self.pass_on()
-                    if self.front.passed_on is None:
+                    if self.front.pass_connection is None:
                         await self.leave()
                     return
         except (ConnectionLost, h11.LocalProtocolError) as error:
@@ -196,8 +196,8 @@
         """Leave the connection to the process that follows, if there is one; what the kernel holds unread of
         it goes along. Guards what crosses: a close would reset a request that is on its way.
         """
-        if self.front.closing and self.front.passed_on is not None and not self.begun():
-            await self.front.passed_on(self.connection)
+        if self.front.closing and self.front.pass_connection is not None and not self.begun():
+            await self.front.pass_connection(self.connection)
 
     async def next_request(self) -> h11.Request | None:
         """The next head; None at the connection's end."""
@@ -208,20 +208,20 @@
                 limits.DRAINING_FIRST_BYTE_TIMEOUT_S
                 if self.front.closing
                 else IDLE_S
-                if self.spoken
+                if self.has_sent_request
                 else limits.HEAD_TIMEOUT_S
             )
             with trio.move_on_after(patience) as self.waiting:
-                self.reach(Stage.IDLE if self.spoken else Stage.SILENT)
+                self.reach(Stage.IDLE if self.has_sent_request else Stage.SILENT)
                 if not await self.connection.fill():
                     return None
             self.waiting = None
-            if not self.connection.unread and (self.front.passed_on or not await self.came_meanwhile()):
+            if not self.connection.unread and (self.front.pass_connection or not await self.came_meanwhile()):
                 return None
         self.reach(Stage.HALF)
-        if self.spoken:
+        if self.has_sent_request:
             head_by = trio.current_time() + limits.HEAD_TIMEOUT_S
-        self.spoken = True
+        self.has_sent_request = True
         with trio.move_on_at(head_by):
             request = await self.next_event()
             return request if isinstance(request, h11.Request) else None
@@ -256,7 +256,7 @@
             else:
                 return event  # type: ignore[return-value]
 
-    async def attend(self, request: h11.Request) -> None:
+    async def handle_request(self, request: h11.Request) -> None:
         path = request.target.partition(b"?")[0].decode("latin-1")
         if path == "/up":
             self.require(request, b"GET")
@@ -293,7 +293,7 @@
                 size += len(event.data)
                 if size > limits.MAX_BODY_BYTES:
                     raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
-                if not self.front.hold(self, len(event.data)):
+                if not self.front.reserve_payload(self, len(event.data)):
                     raise Answered(503, "too many large requests", ((b"retry-after", b"1"), CLOSE))
                 parts.append(bytes(event.data))
         raise Answered(408, "the body did not arrive in time", (CLOSE,))
@@ -311,7 +311,7 @@
         rpc.payload = replace(rpc.payload, other_fields=end_to_end(request.headers))
         # In no local variable: it would hold the body for as long as the answer streams, uncounted.
         rpc.payload = replace(rpc.payload, body=await self.body(headers.get(b"content-length", b"0")))
-        if self.front.refuses:
+        if self.front.is_refusing:
             raise Answered(503, "stopping", (CLOSE,))
         # One that waited behind another's answer: its client's clock ran meanwhile.
         arrived_at = self.arrivals.of_last_parsed(len(self.parser.trailing_data[0]))
@@ -395,7 +395,7 @@
     draining = False  # answers say `Connection: close`
     closing = False  # connections end after their answer
 
-    def attend(self, connection: Connection) -> ClientConnection:
+    def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
     async def linger(self) -> None:
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -33,7 +33,7 @@
         self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
         self.unframer = Unframer(limits.MAX_BODY_BYTES)
-        self.held_bytes = 0  # of the payload budget
+        self.reserved_bytes = 0  # of the payload budget
         self.unread = 0  # bytes in the unframer that the peer has not got back as room
         self.crowded = False  # its request found no room in memory
         self.ended = False  # the client has sent all
@@ -77,15 +77,15 @@
     def feed(self, data: bytes, length: int) -> None:
         self.unread += length
         if self.client.front.payloads.take(len(data)):
-            self.held_bytes += len(data)
+            self.reserved_bytes += len(data)
             self.unframer.feed(data)
         else:
             self.crowded = True
         self.notify()
 
     def release(self) -> None:
-        self.client.front.payloads.give_back(self.held_bytes)
-        self.held_bytes = 0
+        self.client.front.payloads.give_back(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     async def send(self, data: bytes) -> None:
         wire = self.client.wire
@@ -202,7 +202,7 @@
     async def infer(self, method: str, message: bytes) -> None:
         """One RPC, from its message to its final answer."""
         front = self.client.front
-        if front.refuses:
+        if front.is_refusing:
             raise GrpcError(Code.UNAVAILABLE, "stopping")
         request = parse(pb.ModelInferRequest(), message)
         front.known_model(request.model_name)
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -29,7 +29,7 @@
 class ClientConnection:
     """The actor of one client connection: the only reader of its wire."""
 
-    held_bytes = 0  # its streams hold their own; a message that has begun counts as taken
+    reserved_bytes = 0  # its streams hold their own; a message that has begun counts as taken
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
@@ -38,7 +38,7 @@
         self.scope = trio.CancelScope()
         self.heard_at = trio.current_time()
         self.idle_since = self.heard_at
-        self.spoken = False
+        self.has_sent_request = False
         self.going = self.gone = self.at_fault = False  # a first GOAWAY was sent; the last one
         self.ending = trio.Event()
 
@@ -52,7 +52,7 @@
     def stage(self) -> Stage:
         if self.streams:
             return Stage.TAKEN
-        return Stage.IDLE if self.spoken else Stage.SILENT
+        return Stage.IDLE if self.has_sent_request else Stage.SILENT
 
     @property
     def owes_answer(self) -> bool:
@@ -66,7 +66,7 @@
     def readable(self) -> bool:
         return self.wire.connection.readable
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         self.close_if_idle()
         self.wire.connection.close()
 
@@ -118,8 +118,8 @@
             if events is None:
                 return
             self.heard_at = trio.current_time()
-            if events and not self.spoken:
-                self.spoken, self.idle_since = True, self.heard_at
+            if events and not self.has_sent_request:
+                self.has_sent_request, self.idle_since = True, self.heard_at
             for event in events:
                 self.take(event, nursery)
             if not self.streams:
@@ -173,7 +173,7 @@
             if not self.streams and not self.front.accepting:
                 self.go_away()
         await trio.sleep(limits.HEAD_TIMEOUT_S)
-        if not self.spoken:
+        if not self.has_sent_request:
             self.scope.cancel()
 
     async def keep_alive(self) -> None:
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -37,7 +37,7 @@
         self.version = version
         self.accepting = True
 
-    def attend(self, connection: Connection) -> ClientConnection:
+    def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
     def known_model(self, name: str) -> None:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -400,14 +400,14 @@
 
 async def begins_anew(self: Program) -> None:
     await self.core.wait_until_idle()
-    with trio.move_on_after(2.0):  # without heed of what is owed, which `Front.closed` waits for now
+    with trio.move_on_after(2.0):  # without heed of what is owed, which `Front.wait_closed` waits for now
         while any(front.clients for front in self.fronts.values()):
             await trio.sleep(0.01)
 
 
 async def greets_as_ever(self: kserve_connection.ClientConnection) -> None:
     await trio.sleep(limits.HEAD_TIMEOUT_S)
-    if not self.spoken:
+    if not self.has_sent_request:
         self.scope.cancel()
 
 
