--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -155,7 +155,7 @@
             if not config.settings.must_ask_for_list:
                 # Guards the drain rule: what the agent has counts as told from the first moment on.
                 with trio.move_on_after(LISTED_S):
-                    await self.resolver.listed.wait()
+                    await self.resolver.first_list_received.wait()
             for front in self.fronts.values():
                 nursery.start_soon(front.log_evictions)
             for protocol, listener in self.listeners.items():
@@ -273,7 +273,7 @@
         self.budget.resize(self.config.sockets)
         self._in_company(self.takeover is not None and self.takeover.in_company)
         if self.config.discovery != old.discovery:
-            self.resolver.move(self.config.discovery)
+            self.resolver.change_address(self.config.discovery)
         self.log(
             "notice",
             "RELOAD",
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -158,7 +158,7 @@
 
     def _take(self, state: dict[str, Any]) -> None:
         result = decode_result(state.get("list"), ListKind.CACHED)
-        self._resolver.follow(result.version)
+        self._resolver.start_from(result.version)
         self._core.apply_resolver_result(result)
         learned = state.get("learned")
         if isinstance(learned, dict):
--- a/sorreldock/protocol/http/discovery.py
+++ b/sorreldock/protocol/http/discovery.py
@@ -22,7 +22,7 @@
     "Terminating": ReplicaState.DRAINING,
     "Gone": ReplicaState.GONE,
 }
-LARGEST_LIST = 4 * 1024 * 1024  # unless its reader is told otherwise
+MAX_LIST_BYTES = 4 * 1024 * 1024  # unless its reader is told otherwise
 TARGETS_AT_ONCE = 200  # decoded before others have their turn
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -111,8 +111,8 @@
     many, to the line on which its last bracket closes.
     """
 
-    def __init__(self, largest: int = LARGEST_LIST) -> None:
-        self._largest = largest
+    def __init__(self, max_list_bytes: int = MAX_LIST_BYTES) -> None:
+        self._max_list_bytes = max_list_bytes
         self._rest: list[bytes] = []  # the pieces of a line that has not ended
         self._rest_size = 0
         self._begun: list[bytes] = []  # the lines of an object that has not ended
@@ -137,7 +137,7 @@
                 if self._depth == 0:
                     self.signs += 1
                     yield self._end()
-        if self._size + self._rest_size > self._largest:
+        if self._size + self._rest_size > self._max_list_bytes:
             raise ListError("the list is too long")
 
     def _whole_lines(self, data: bytes) -> list[bytes]:
@@ -188,16 +188,16 @@
         log: Log,
         dial: Dial = dial,
         pushed: bool = False,
-        largest: int = LARGEST_LIST,
+        max_list_bytes: int = MAX_LIST_BYTES,
         must_ask_in_s: float = 10.0,
         seed: int = 0,
     ) -> None:
         self._address = address
         self._version = version
-        self._largest = largest
+        self._max_list_bytes = max_list_bytes
         self._freshness = Freshness(pushed, must_ask_in_s)
         self._draw = random.Random(seed).random
-        self.listed = trio.Event()  # once discovery has told anything
+        self.first_list_received = trio.Event()  # once discovery has told anything
         self._on_result = on_result
         self._log = log
         self._dial = dial
@@ -207,11 +207,11 @@
     def version(self) -> int:
         return self._version
 
-    def follow(self, version: int) -> None:
+    def start_from(self, version: int) -> None:
         """Begin where another process of this router is."""
         self._version = max(version, self._version)
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Watch another discovery from now on. The versions of one mean nothing to another, so it is asked
         for the whole list; until it answers, what is known holds.
         """
@@ -257,7 +257,7 @@
             headers=[("host", self._address)],
         )
         await connection.send((parser.send(request) or b"") + (parser.send(h11.EndOfMessage()) or b""))
-        reader, signs = ListReader(self._largest), 0
+        reader, signs = ListReader(self._max_list_bytes), 0
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
@@ -292,4 +292,4 @@
             return
         self._version = result.version
         self._on_result(result)
-        self.listed.set()
+        self.first_list_received.set()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -280,7 +280,7 @@
         before = dict(router.program.core.subchannels)
         wire = await router.start_post()
         await wire.next()
-        router.program.resolver.move(second.address)
+        router.program.resolver.change_address(second.address)
         await second.watching.wait()
         more.set()
         assert [(await wire.next()).data for _ in EVENTS] == EVENTS
