--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -11,11 +11,11 @@
 
 from .. import __version__
 from ..protocol.front import Front
-from ..protocol.http.client import HttpEngineClient
+from ..protocol.http.client import HttpServerClient
 from ..protocol.http.discovery import Resolver
 from ..protocol.http.front import HttpFront
 from ..routing.core import Core
-from ..routing.types import EngineClient, ResolverResult
+from ..routing.types import ResolverResult, ServerClient
 from ..transport.budget import DescriptorBudget, PayloadBudget
 from ..transport.connection import dialler
 from ..transport.listener import Listener
@@ -90,12 +90,12 @@
     def ready(self) -> bool:
         return self.lifecycle.takes_work and self.core.can_serve()
 
-    def _connect(self, endpoint: str) -> dict[str, EngineClient]:
+    def _connect(self, endpoint: str) -> dict[str, ServerClient]:
         limits = self.config.settings.limits
-        clients: dict[str, EngineClient] = {}
+        clients: dict[str, ServerClient] = {}
         if "http" in self.config.operator.server_protocols:
             probe_path = "/metrics/load" if self.config.settings.metrics else "/alive"
-            clients["http"] = HttpEngineClient(
+            clients["http"] = HttpServerClient(
                 endpoint,
                 self.budget,
                 limits.connect_timeout_s,
@@ -106,9 +106,9 @@
             )
         if "kserve" in self.config.operator.server_protocols:
             # Only here: the platform's path has no use for the gRPC code and its memory.
-            from ..protocol.kserve.client import KserveEngineClient
+            from ..protocol.kserve.client import KserveServerClient
 
-            clients["kserve"] = KserveEngineClient(
+            clients["kserve"] = KserveServerClient(
                 endpoint, self.budget, limits.connect_timeout_s, limits.conn_idle_s, self._dial
             )
         return clients
@@ -126,17 +126,17 @@
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.server_protocols else "kserve"
+        probe_protocol = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
             self._connect,
             self.log,
             max_open_rpcs(config.memory_mb),
-            probed_with=probed_with,
+            probe_protocol=probe_protocol,
             wall=self.system.wall,
         )
-        self.core.resolved(config.known)
+        self.core.apply_resolver_result(config.known)
         self._open_fronts()
         for protocol, listener in self.listeners.items():
             self.addresses[protocol] = await listener.bind()
@@ -155,9 +155,9 @@
             if not config.settings.must_ask_for_list:
                 # Guards the drain rule: what the agent has counts as told from the first moment on.
                 with trio.move_on_after(LISTED_S):
-                    await self.resolver.listed.wait()
+                    await self.resolver.first_list_received.wait()
             for front in self.fronts.values():
-                nursery.start_soon(front.tell_shed)
+                nursery.start_soon(front.log_evictions)
             for protocol, listener in self.listeners.items():
                 nursery.start_soon(listener.serve, nursery, self.fronts[protocol].handle)
             self.lifecycle.enter(Phase.SERVING)
@@ -165,7 +165,7 @@
             await self.lifecycle.stop_requested.wait()
             self.operator_commands.stop()
             for front in self.fronts.values():
-                front.refuse_from = trio.current_time() + LAST_TAKEN_S
+                front.refuse_requests_from = trio.current_time() + LAST_TAKEN_S
             self.lifecycle.enter(Phase.LINGERING)
             if config.inherited_fd is not None:  # who comes now is for the process that follows
                 self.listeners["http"].close()
@@ -192,10 +192,10 @@
         for listener in self.listeners.values():
             await listener.ended.wait()
         while True:
-            await self.core.drained()
+            await self.core.wait_until_idle()
             for front in self.fronts.values():
-                await front.closed(CONNECTIONS_END_S)
-            if not self.core.open:
+                await front.wait_closed(CONNECTIONS_END_S)
+            if not self.core.open_rpcs:
                 return
 
     def _open_fronts(self) -> None:
@@ -243,7 +243,7 @@
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
     def _resolved(self, result: ResolverResult) -> None:
-        self.core.resolved(result if self.takeover is None else self.takeover.took(result))
+        self.core.apply_resolver_result(result if self.takeover is None else self.takeover.took(result))
 
     def _in_company(self, others: bool) -> None:
         """Memory, like descriptors, is counted for both processes of a router together."""
@@ -251,7 +251,7 @@
         if others:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
         self.payloads.max_used = payload_bytes(memory_mb)
-        self.core.most_open = max_open_rpcs(memory_mb)
+        self.core.max_open_rpcs = max_open_rpcs(memory_mb)
 
     async def _signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
@@ -277,7 +277,7 @@
         self.budget.resize(self.config.sockets)
         self._in_company(self.takeover is not None and self.takeover.in_company)
         if self.config.discovery != old.discovery:
-            self.resolver.move(self.config.discovery)
+            self.resolver.change_address(self.config.discovery)
         self.log(
             "notice",
             "RELOAD",
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -12,7 +12,7 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import SERVICE, Code, Deframer, GrpcError, Headers, frame, trailers
-from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
+from ...routing.types import FinalAnswer, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
 from .metadata import MARK, CallHead, answer_of, rpc_from
@@ -32,8 +32,8 @@
         self.head = CallHead(number, headers)
         self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
-        self.deframer = Deframer(limits.LARGEST_BODY)
-        self.held_bytes = 0  # of the payload budget
+        self.deframer = Deframer(limits.MAX_BODY_BYTES)
+        self.reserved_bytes = 0  # of the payload budget
         self.unread = 0  # bytes in the deframer that the peer has not got back as room
         self.crowded = False  # its request found no room in memory
         self.ended = False  # the client has sent all
@@ -41,7 +41,7 @@
         self.changed = trio.Event()
         self.head_sent = False
         self.trailing: Headers = []  # the engine's own, for the client
-        self.final: Final | None = None
+        self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.answering = False  # from a request's submission until its answer is handed to the wire
 
@@ -52,7 +52,7 @@
 
     # The core's side.
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         if self.final is not None or self.reset:
             raise SinkClosed
         self.release()  # an answer has begun: the core has let the payload go
@@ -61,11 +61,11 @@
         except (ConnectionLost, h2.exceptions.ProtocolError):
             raise SinkClosed from None
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         self.final = final
         self.finished.set()
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         return self.reset or self.client.wire.connection.closed_by_peer
 
     # The wire's side.
@@ -77,15 +77,15 @@
     def feed(self, data: bytes, length: int) -> None:
         self.unread += length
         if self.client.front.payloads.acquire(len(data)):
-            self.held_bytes += len(data)
+            self.reserved_bytes += len(data)
             self.deframer.feed(data)
         else:
             self.crowded = True
         self.notify()
 
     def release(self) -> None:
-        self.client.front.payloads.release(self.held_bytes)
-        self.held_bytes = 0
+        self.client.front.payloads.release(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     async def send(self, data: bytes) -> None:
         wire = self.client.wire
@@ -93,7 +93,7 @@
             self.head_sent = True
             wire.h2.send_headers(self.number, HEAD)
         view = memoryview(data)
-        with trio.move_on_after(limits.WRITE_S) as scope:
+        with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             while view:
                 if self.reset:
                     raise ConnectionLost("the client has cancelled")
@@ -132,7 +132,7 @@
             self.give_room()
             # A stream may stand open between its messages; a request that has begun goes on.
             begun = self.unary or self.deframer.partial
-            with trio.move_on_after(limits.STALL_S if begun else math.inf) as stall:
+            with trio.move_on_after(limits.STALL_TIMEOUT_S if begun else math.inf) as stall:
                 await self.changed.wait()
             if stall.cancelled_caught:
                 raise GrpcError(Code.DEADLINE_EXCEEDED, "the request does not go on")
@@ -186,7 +186,7 @@
             if not self.head_sent:
                 await self.send(b"")
             return
-        with trio.move_on_after(limits.BODY_S) as scope:
+        with trio.move_on_after(limits.BODY_TIMEOUT_S) as scope:
             message = await self.message()
             if message is not None and await self.message() is not None:
                 raise GrpcError(Code.INVALID_ARGUMENT, "a unary call with two messages")
@@ -202,7 +202,7 @@
     async def infer(self, method: str, message: bytes) -> None:
         """One RPC, from its message to its final answer."""
         front = self.client.front
-        if front.refuses:
+        if front.is_refusing:
             raise GrpcError(Code.UNAVAILABLE, "stopping")
         request = parse(pb.ModelInferRequest(), message)
         front.known_model(request.model_name)
@@ -226,8 +226,8 @@
         error = answer_of(self.final)
         if error is not None:
             raise error
-        if isinstance(self.final.verdict, GrpcError):
-            self.trailing = self.final.verdict.metadata  # on a long stream, the last answer's
+        if isinstance(self.final.server_status, GrpcError):
+            self.trailing = self.final.server_status.metadata  # on a long stream, the last answer's
 
 
 M = TypeVar("M", bound=Message)
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -6,8 +6,8 @@
 
 from ..hashing import key_of
 from ..interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
-from .subchannel import AttemptEnded, ProbeEnded, Subchannel, Update
-from .types import Connect, ResolverResult, Target
+from .subchannel import AttemptCallback, ProbeCallback, Subchannel, Update
+from .types import ResolverResult, ServerClientFactory, Target
 
 
 class ServerTable:
@@ -15,15 +15,15 @@
 
     def __init__(
         self,
-        connect: Connect,
-        probed_with: str,
-        on_ended: AttemptEnded,
-        on_probed: ProbeEnded,
+        connect: ServerClientFactory,
+        probe_protocol: str,
+        on_ended: AttemptCallback,
+        on_probed: ProbeCallback,
         drain_grace_s: float,
     ) -> None:
         self.subchannels: dict[int, Subchannel] = {}
         self._connect = connect
-        self._probed_with = probed_with
+        self._probed_with = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._drain_grace_s = drain_grace_s
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -12,9 +12,9 @@
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
-from sorreldock.protocol.http.client import HttpEngineClient
+from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
-from sorreldock.routing.subchannel import CallAttempt
+from sorreldock.routing.subchannel import Attempt
 from sorreldock.transport.budget import DescriptorBudget
 from sorreldock.transport.connection import Connection
 
@@ -51,7 +51,7 @@
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
     for send_by, may in ((now - 0.001, False), (now + 60.0, True)):
-        attempt = CallAttempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
+        attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
         assert attempt.may_send() is may
 
 
@@ -98,9 +98,9 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, and nobody listens
-        closed = HttpEngineClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
+        closed = HttpServerClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
         assert (await closed.call(attempt, attempt)).status is Status.NO_LISTENER
-    nowhere = HttpEngineClient("not-an-address", DescriptorBudget(364), 1.0, 60.0, "/alive")
+    nowhere = HttpServerClient("not-an-address", DescriptorBudget(364), 1.0, 60.0, "/alive")
     assert (await nowhere.probe()).status is Status.CONNECT_FAILED
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -28,11 +28,11 @@
 
 from sorreldock.interface import Status
 from sorreldock.program.phases import Phase
-from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol import front as limits
+from sorreldock.protocol import server_client
 from sorreldock.protocol.http import client as http_client
 from sorreldock.protocol.http import freshness
-from sorreldock.routing.subchannel import CallAttempt, Subchannel
+from sorreldock.routing.subchannel import Attempt, Subchannel
 from sorreldock.transport.connection import Connection
 from sorreldock.transport.pool import ConnectionPool
 
@@ -174,7 +174,7 @@
 
 @trio_test
 async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
 
     async def silent(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
@@ -255,7 +255,7 @@
 
                 nursery.start_soon(ask)
                 core = router.program.core
-                while not any(entry.out for entry in core.open.values()):
+                while not any(entry.in_flight for entry in core.open_rpcs.values()):
                     await trio.sleep(0.005)
                 discovery.engines = (hung, good)
                 discovery.push_states(e0="Terminating")
@@ -266,7 +266,7 @@
 async def test_an_attempt_whose_dial_ends_after_the_drain_is_not_sent_either() -> None:
     subchannel = SimpleNamespace(ready=True)
     there = [True]
-    attempt = CallAttempt(None, 0, subchannel, 1.0, print, lambda rpc: there[0])  # type: ignore[arg-type]
+    attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: there[0])  # type: ignore[arg-type]
     assert attempt.may_send()
     there[0] = False  # its client has left
     assert not attempt.may_send()
@@ -282,12 +282,12 @@
     class Late:
         async def call(self, rpc: Any, progress: Any) -> Any:
             time.sleep(0.02)  # the program is busy; nothing else runs
-            await progress.event(EVENTS[0])
+            await progress.forward_event(EVENTS[0])
 
     target: Any = SimpleNamespace(endpoint="")
     clients: Any = {"http": Late()}
     subchannel = Subchannel(1, target, lambda _: clients, "http", lambda *told: got.append(told), print)
-    attempt = CallAttempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
+    attempt = Attempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
     await subchannel._attempt(attempt)
     assert got[0][1].status is Status.TIMEOUT and not attempt.started
 
@@ -484,7 +484,7 @@
 
 @trio_test
 async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.05)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.05)
     async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         await wire.stream.send_all(b"POST /v1/chat")
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -15,7 +15,7 @@
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
 from sorreldock.program.phases import Phase
-from sorreldock.protocol import engine as engine_client
+from sorreldock.protocol import server_client
 from sorreldock.protocol.kserve import connection as kserve_connection
 from sorreldock.protocol.kserve.grpc import ServerWire
 from sorreldock.transport.connection import Connection
@@ -70,7 +70,7 @@
             for number in range(20):
                 nursery.start_soon(http, number)
                 nursery.start_soon(kserve, number)
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
     names = Counter(call.headers["x-trace-id"] for e in engines for call in e.received_requests)
@@ -184,7 +184,7 @@
 
 @trio_test
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
@@ -192,7 +192,7 @@
         await client.cancel(stream)
         [call] = engine.grpc_calls
         await call.until(lambda: call.end.closed)
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         engine.grpc_script = answer_in_full
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
@@ -200,7 +200,7 @@
 
 @trio_test
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
     async with running_router(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
@@ -210,7 +210,7 @@
 
 @trio_test
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
     async with (
         running_router(SharedEngine(begin_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -268,7 +268,7 @@
 ) -> None:
     engine = SharedEngine()
     async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
-        router.program.fronts["kserve"].refuse_from = trio.current_time()
+        router.program.fronts["kserve"].refuse_requests_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not engine.grpc_calls
 
@@ -339,9 +339,11 @@
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
         [stream] = connection.streams.values()
-        assert not stream.left()
+        assert not stream.has_client_left()
         client.end.stream.socket.close()  # type: ignore[attr-defined]
-        assert stream.left() and connection.streams  # nothing has run since: its reader has not heard
+        assert (
+            stream.has_client_left() and connection.streams
+        )  # nothing has run since: its reader has not heard
 
 
 @trio_test
