--- a/sorreldock/interface.py
+++ b/sorreldock/interface.py
@@ -307,7 +307,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class StartAttempt:
     """Begin an attempt."""
 
     request: str
@@ -316,7 +316,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Give up an attempt."""
 
     request: str
@@ -324,7 +324,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RefuseRequest:
     """Refuse a request; trying again is harmless."""
 
     request: str
@@ -332,7 +332,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Fail a request."""
 
     request: str
@@ -354,7 +354,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendPeerMessage:
     """Send a message to other gateways."""
 
     payload: bytes
@@ -366,4 +366,13 @@
     """Ask discovery for changes from now on."""
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | TellPeers | Subscribe
+Action = (
+    StartAttempt
+    | CancelAttempt
+    | RefuseRequest
+    | FailRequest
+    | SetTimer
+    | Probe
+    | SendPeerMessage
+    | Subscribe
+)
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -12,27 +12,27 @@
 from ..interface import (
     Action,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     ClientGone,
     Effect,
     Event,
-    Fail,
+    FailRequest,
     FirstToken,
     Learned,
     ListKind,
     OutElsewhere,
     Probe,
     ProbeEnded,
-    Refuse,
+    RefuseRequest,
     ReplicaList,
     RequestArrived,
     RequestClass,
-    Send,
+    SendPeerMessage,
     SetTimer,
     Settings,
+    StartAttempt,
     Status,
     Subscribe,
-    TellPeers,
     TimerFired,
 )
 from ..rules import Gateway
@@ -371,13 +371,13 @@
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Send(request, replica, timeout_s):
+                case StartAttempt(request, replica, timeout_s):
                     self._start(request, replica, timeout_s)
-                case Cancel(request, number):
+                case CancelAttempt(request, number):
                     self._cancel(request, number)
-                case Refuse(request, retry_after_s):
+                case RefuseRequest(request, retry_after_s):
                     self._end(request, Outcome.REFUSED, retry_after_s)
-                case Fail(request):
+                case FailRequest(request):
                     self._end(request, Outcome.FAILED, 0.0)
                 case SetTimer(delay_s, token):
                     self._timers.add(trio.current_time() + delay_s, token)
@@ -389,7 +389,7 @@
                         self._order(subchannel, Probing())
                 case Subscribe():
                     pass  # the resolver watches by its own clock; two that ask make twice a fleet's calls
-                case TellPeers():
+                case SendPeerMessage():
                     pass  # no platform that this program serves lets routers talk
 
     def _start(self, request: str, replica: int, timeout_s: float) -> None:
--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -16,12 +16,12 @@
 from .interface import (
     Action,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     ClientGone,
     DedupScope,
     Effect,
     Event,
-    Fail,
+    FailRequest,
     FirstToken,
     Learned,
     ListKind,
@@ -29,15 +29,15 @@
     OutElsewhere,
     Probe,
     ProbeEnded,
-    Refuse,
+    RefuseRequest,
     ReplicaEntry,
     ReplicaList,
     ReplicaState,
     RequestArrived,
     RequestClass,
-    Send,
     SetTimer,
     Settings,
+    StartAttempt,
     Status,
     Subscribe,
     TimerFired,
@@ -491,7 +491,7 @@
     def send(self, request: Request, replica: Replica, left: float) -> None:
         request.attempts.append(Attempt(replica, self.now))
         replica.busy += 1
-        self.out.append(Send(request.event.request, replica.entry.replica, left))
+        self.out.append(StartAttempt(request.event.request, replica.entry.replica, left))
         late = max(self.quantile[request.cls.name], 0.5 * self.aim(request), 3.0 * self.expected(replica))
         if request.cls.streamed and late < left:
             self.out.append(SetTimer(late, f"late:{request.event.request}:{len(request.attempts) - 1}"))
@@ -501,7 +501,7 @@
         if request.cls.effect is Effect.KEYED and request.cls.dedup_scope is DedupScope.ALL:
             refusable = True
         name = request.event.request
-        self.out.append(Refuse(name, self.advice(request)) if refusable else Fail(name))
+        self.out.append(RefuseRequest(name, self.advice(request)) if refusable else FailRequest(name))
         self.finish(request)
 
     def advice(self, request: Request) -> float:
@@ -568,7 +568,7 @@
         request = self.requests.get(event.request)
         if request is not None and not request.done:
             if self.settings.limits.cancel and request.running() and not request.attempts[-1].started:
-                self.out.append(Cancel(request.event.request, len(request.attempts) - 1))
+                self.out.append(CancelAttempt(request.event.request, len(request.attempts) - 1))
             self.finish(request)
 
     def on_timer(self, token: str) -> None:
@@ -615,7 +615,7 @@
                 self.failed(replica)  # when all slow together, none is to blame
             stuck = limits.probes
         if stuck and movable:
-            self.out.append(Cancel(request.event.request, number))  # its end sends it elsewhere
+            self.out.append(CancelAttempt(request.event.request, number))  # its end sends it elsewhere
 
     # Discovery.
 
--- a/sorreldock/wire.py
+++ b/sorreldock/wire.py
@@ -12,12 +12,12 @@
 from .interface import (
     Action,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     ClientGone,
     DedupScope,
     Effect,
     Event,
-    Fail,
+    FailRequest,
     FirstToken,
     Guarantees,
     Limits,
@@ -27,19 +27,19 @@
     Prices,
     Probe,
     ProbeEnded,
-    Refuse,
+    RefuseRequest,
     ReplicaEntry,
     ReplicaState,
     ReportVia,
     RequestArrived,
     RequestClass,
-    Send,
+    SendPeerMessage,
     SetTimer,
     Settings,
     SettingsError,
+    StartAttempt,
     Status,
     Subscribe,
-    TellPeers,
     Tenant,
     TimerFired,
     WeightKind,
@@ -426,21 +426,21 @@
 def encode_action(gateway: str, action: Action) -> str:
     head = f"\tgateway={gateway}"
     match action:
-        case Send(request, replica, timeout_s):
+        case StartAttempt(request, replica, timeout_s):
             wait = f"\tmax_wait_s={timeout_s:.6f}" if timeout_s > 0 else ""
             return f"place{head}\tref={request}\treplica={replica}{wait}"
-        case Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return f"undo_send{head}\tref={request}\ttry={attempt}"
-        case Refuse(request, retry_after_s):
+        case RefuseRequest(request, retry_after_s):
             pause = f"\tpause_s={retry_after_s:.6f}" if retry_after_s > 0 else ""
             return f"say_no{head}\tref={request}{pause}"
-        case Fail(request):
+        case FailRequest(request):
             return f"surrender{head}\tref={request}"
         case SetTimer(delay_s, token):
             return f"set_timer{head}\twait_s={delay_s:.6f}\tcookie={token}"
         case Probe(replica):
             return f"inspect{head}\treplica={replica}"
-        case TellPeers(payload, peer):
+        case SendPeerMessage(payload, peer):
             body = base64.b64encode(payload).decode() or "-"
             return f"share{head}\tneighbour_id={'all' if peer is None else peer}\tbody={body}"
         case Subscribe():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,8 +19,8 @@
     ReplicaState,
     RequestArrived,
     RequestClass,
-    Send,
     Settings,
+    StartAttempt,
     Status,
 )
 from sorreldock.rules import Gateway
@@ -104,8 +104,8 @@
     )
 
 
-def sends(actions: Iterable[Action]) -> list[Send]:
-    return [a for a in actions if isinstance(a, Send)]
+def sends(actions: Iterable[Action]) -> list[StartAttempt]:
+    return [a for a in actions if isinstance(a, StartAttempt)]
 
 
 def homes(gw: Gateway, keys: Iterable[str], now: float = START, prefix: bool = False) -> dict[str, int]:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,7 +15,16 @@
 from hypothesis import strategies as st
 from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
 
-from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
+from sorreldock.interface import (
+    AttemptEnded,
+    Event,
+    FirstToken,
+    Metric,
+    Probe,
+    RequestArrived,
+    StartAttempt,
+    Status,
+)
 from sorreldock.kserve.framing import Farewell, Farewells
 from sorreldock.program.serve import most_open, payload_bytes
 from sorreldock.protocol.loads import parse_load
@@ -131,7 +140,7 @@
 
         def both(events: Sequence[Event]) -> list[Any]:
             arrived = [e for e in events if isinstance(e, RequestArrived)]
-            return [Send(e.request, replica) for e in arrived for replica in core.subchannels]
+            return [StartAttempt(e.request, replica) for e in arrived for replica in core.subchannels]
 
         seen = Recorder(core._gateway, both)
         await router.post(x_expires_in="200m")
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -193,7 +193,7 @@
 def test_an_empty_list_refuses() -> None:
     gw = Gateway(settings(), 1)
     gw.handle(START, [listing()])
-    assert [type(a).__name__ for a in gw.handle(START, [call("a")])] == ["Refuse"]
+    assert [type(a).__name__ for a in gw.handle(START, [call("a")])] == ["RefuseRequest"]
 
 
 @pytest.mark.parametrize("prompt", [450, 5000])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,11 +30,11 @@
 from sorreldock.interface import (
     Action,
     AttemptEnded,
-    Cancel,
+    CancelAttempt,
     ClientGone,
     DedupScope,
     Effect,
-    Fail,
+    FailRequest,
     FirstToken,
     Learned,
     Limits,
@@ -43,14 +43,14 @@
     OutElsewhere,
     Probe,
     ProbeEnded,
-    Refuse,
+    RefuseRequest,
     ReplicaList,
     ReplicaState,
     ReportVia,
     RequestArrived,
     RequestClass,
-    Send,
     SetTimer,
+    StartAttempt,
     Status,
     Subscribe,
     TimerFired,
@@ -62,19 +62,21 @@
 MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
 
-def ended(request: str, send: Send, attempt: int, status: Status, final: bool = False) -> AttemptEnded:
+def ended(
+    request: str, send: StartAttempt, attempt: int, status: Status, final: bool = False
+) -> AttemptEnded:
     return AttemptEnded(request, attempt, send.replica, status, 0.1, final)
 
 
 def finals(actions: list[Action]) -> list[Action]:
-    return [a for a in actions if isinstance(a, Refuse | Fail)]
+    return [a for a in actions if isinstance(a, RefuseRequest | FailRequest)]
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_is_failed_not_repeated(status: Status) -> None:
     gw = gateway()
     first = sends(gw.handle(START, [call("a", cls=UNSAFE)]))[0]
-    assert gw.handle(START + 0.1, [ended("a", first, 0, status)]) == [Fail("a")]
+    assert gw.handle(START + 0.1, [ended("a", first, 0, status)]) == [FailRequest("a")]
 
 
 @pytest.mark.parametrize("status", NEVER_RAN)
@@ -106,7 +108,7 @@
     first = sends(gw.handle(START, [call("a", cls=cls)]))[0]
     late = START + cls.dedup_window_s + 0.1
     answer = gw.handle(late, [ended("a", first, 0, Status.ERROR)])
-    assert answer == [Refuse("a") if scope is DedupScope.ALL else Fail("a")]
+    assert answer == [RefuseRequest("a") if scope is DedupScope.ALL else FailRequest("a")]
 
 
 PROBING = {"reports_via": ReportVia.PROBE, "metrics": (Metric.IN_FLIGHT,)}
@@ -172,10 +174,10 @@
     gw.handle(START + later + 0.05, [FirstToken("b", 0, 1, 0.05)])
     actions = gw.handle(START + 0.9, [TimerFired("late:a:0")])
     passed = cls is SAFE and later > 0.5
-    assert [a for a in actions if isinstance(a, Cancel)] == ([Cancel("a", 0)] if passed else [])
+    assert [a for a in actions if isinstance(a, CancelAttempt)] == ([CancelAttempt("a", 0)] if passed else [])
     if passed:
         gw.handle(START + 0.9, [listing(entry(1), entry(2), kind=ListKind.FULL)])
-        [again] = sends(gw.handle(START + 0.91, [ended("a", Send("a", 1), 0, Status.CANCELLED)]))
+        [again] = sends(gw.handle(START + 0.91, [ended("a", StartAttempt("a", 1), 0, Status.CANCELLED)]))
         assert again.replica == 2
 
 
@@ -187,7 +189,7 @@
         if first:
             gw.handle(START, [ended(f"r{k}", first[0], 0, Status.FULL)])
     answers = gw.handle(START + 0.1, [call(f"x{k}", now=START + 0.1) for k in range(20)])
-    assert any(isinstance(a, Refuse) for a in answers)
+    assert any(isinstance(a, RefuseRequest) for a in answers)
     rejecting = gw.refusals(gw.replicas[1])
     assert rejecting >= 0.5 and len(sends(answers)) < 20
 
@@ -200,7 +202,7 @@
         send = sends(actions)[0]
         assert attempt == 3 or send.replica % 2 == attempt % 2  # home, abroad, home: a border may be cut
         actions = gw.handle(START + 0.1 * attempt, [ended("a", send, attempt, status)])
-    assert actions == [Refuse("a")]
+    assert actions == [RefuseRequest("a")]
 
 
 def test_events_of_no_concern_are_ignored() -> None:
@@ -406,7 +408,7 @@
     for replica in [*gw.zone, *gw.zone]:
         gw.over_used(replica)
     actions = gw.handle(START + 0.02, [call("full", session="s")])
-    assert any(isinstance(a, Refuse) for a in actions) and not sends(actions)
+    assert any(isinstance(a, RefuseRequest) for a in actions) and not sends(actions)
 
 
 def test_one_refusal_refuses_nobody_in_the_moment_in_which_it_is_told() -> None:
@@ -489,17 +491,17 @@
         limits = self.gw.settings.limits
         for action in actions:
             match action:
-                case Send(request, replica):
+                case StartAttempt(request, replica):
                     assert request in self.open, "sent after its end"
                     self.allowed(request, replica)
                     assert len(self.tries[request]) < limits.max_attempts
                     assert all(t[2] is not None for t in self.tries[request])
                     assert replica not in self.gone, "sent to a draining or gone replica"
                     self.tries[request].append([replica, self.now, None])
-                case Refuse(request):
+                case RefuseRequest(request):
                     self.refusable(request)
                     self.close(request)
-                case Fail(request):
+                case FailRequest(request):
                     self.close(request)
                 case SetTimer(delay, token):
                     self.timers.append((self.now + delay, token))
@@ -647,11 +649,11 @@
     gw.probe_credit, actions = 6.0, gw.handle(now, [TimerFired(again.token)])
     assert (gw.replicas[sent.replica].failed_until > now) is not reports
     for gw.moves in (0.0, 3.0) if reports else ():  # its answer may be lost: first tokens earn moves
-        assert Cancel("a", 0) not in actions
+        assert CancelAttempt("a", 0) not in actions
         now += 1.2
         gw.handle(now, [TimerFired(again.token)])
         actions = gw.handle(now, [ProbeEnded(sent.replica, Status.OK, 0.1, (0.0,)), TimerFired(again.token)])
-    assert Cancel("a", 0) in actions and gw.moves == (2.0 if reports else 0.0)
+    assert CancelAttempt("a", 0) in actions and gw.moves == (2.0 if reports else 0.0)
     assert sends(gw.handle(now, [ended("a", sent, 0, Status.CANCELLED)]))[0].replica != sent.replica
 
 
@@ -703,20 +705,20 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 pending.append((now + action.delay_s, action.token))
-            elif isinstance(action, Send):
+            elif isinstance(action, StartAttempt):
                 assert action.request not in out, "a second copy, whatever the settings allow"
                 out[action.request] = out.get(action.request, 0) + 1
         seen += actions
     kinds = {type(a).__name__ for a in seen}
-    assert "Send" in kinds and "Subscribe" not in kinds
+    assert "StartAttempt" in kinds and "Subscribe" not in kinds
     assert probes or "Probe" not in kinds
-    assert cancel or "Cancel" not in kinds
-    assert peers or "TellPeers" not in kinds
+    assert cancel or "CancelAttempt" not in kinds
+    assert peers or "SendPeerMessage" not in kinds
 
 
 def test_a_refusal_says_when_to_come_again_where_clients_heed_it() -> None:
     advised = Limits(max_attempts=3, retry_advice=True, max_retry_after_s=0.6)
     gw = gateway([], limits=advised)
     [refused] = gw.handle(START, [call("a")])
-    assert isinstance(refused, Refuse) and 0.0 < refused.retry_after_s <= 0.6
-    assert gateway([]).handle(START, [call("a")]) == [Refuse("a")]
+    assert isinstance(refused, RefuseRequest) and 0.0 < refused.retry_after_s <= 0.6
+    assert gateway([]).handle(START, [call("a")]) == [RefuseRequest("a")]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,22 +13,22 @@
 
 from sorreldock import wire
 from sorreldock.interface import (
-    Cancel,
-    Fail,
+    CancelAttempt,
+    FailRequest,
     ListKind,
     Metric,
     PeerMessage,
     Probe,
     ProbeEnded,
-    Refuse,
+    RefuseRequest,
     ReportVia,
     RequestArrived,
-    Send,
+    SendPeerMessage,
     SetTimer,
     SettingsError,
+    StartAttempt,
     Status,
     Subscribe,
-    TellPeers,
     WeightKind,
 )
 
@@ -130,15 +130,15 @@
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (Send("rq_a", 9, 0.08), "place\tgateway=g\tref=rq_a\treplica=9\tmax_wait_s=0.080000"),
-        (Cancel("rq_a", 1), "undo_send\tgateway=g\tref=rq_a\ttry=1"),
-        (Refuse("rq_a", 0.25), "say_no\tgateway=g\tref=rq_a\tpause_s=0.250000"),
-        (Refuse("rq_a"), "say_no\tgateway=g\tref=rq_a"),
-        (Fail("rq_a"), "surrender\tgateway=g\tref=rq_a"),
+        (StartAttempt("rq_a", 9, 0.08), "place\tgateway=g\tref=rq_a\treplica=9\tmax_wait_s=0.080000"),
+        (CancelAttempt("rq_a", 1), "undo_send\tgateway=g\tref=rq_a\ttry=1"),
+        (RefuseRequest("rq_a", 0.25), "say_no\tgateway=g\tref=rq_a\tpause_s=0.250000"),
+        (RefuseRequest("rq_a"), "say_no\tgateway=g\tref=rq_a"),
+        (FailRequest("rq_a"), "surrender\tgateway=g\tref=rq_a"),
         (SetTimer(0.5, "x"), "set_timer\tgateway=g\twait_s=0.500000\tcookie=x"),
         (Probe(9), "inspect\tgateway=g\treplica=9"),
-        (TellPeers(b"hi 7"), "share\tgateway=g\tneighbour_id=all\tbody=aGkgNw=="),
-        (TellPeers(b"", 2), "share\tgateway=g\tneighbour_id=2\tbody=-"),
+        (SendPeerMessage(b"hi 7"), "share\tgateway=g\tneighbour_id=all\tbody=aGkgNw=="),
+        (SendPeerMessage(b"", 2), "share\tgateway=g\tneighbour_id=2\tbody=-"),
         (Subscribe(), "stream_changes\tgateway=g\tenable=1"),
     ],
 )
