--- a/sorreldock/hashing.py
+++ b/sorreldock/hashing.py
@@ -14,11 +14,11 @@
     return value ^ (value >> 31)
 
 
-def key_of(text: str) -> int:
+def hash_text(text: str) -> int:
     """Hash a text to 64 bits."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def unit(x: int, salt: int) -> float:
+def hash_to_unit(x: int, salt: int) -> float:
     """Hash to a number in (0, 1]."""
     return (mix(x ^ salt) + 1) / (MASK + 2)
--- a/sorreldock/policy/draw.py
+++ b/sorreldock/policy/draw.py
@@ -16,7 +16,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from ..hashing import MASK, mix, unit
+from ..hashing import MASK, hash_to_unit, mix
 from .replica import Replica
 
 ROUND_STEP = 0xD1342543DE82EF95
@@ -31,7 +31,7 @@
 
 def straw_length(key: int, replica: Replica) -> float:
     """Return the length of a replica's straw; the longest wins."""
-    return math.log(unit(key, replica.salt)) / replica.weight
+    return math.log(hash_to_unit(key, replica.salt)) / replica.weight
 
 
 def longest_straw(replicas: Sequence[Replica], key: int) -> Replica:
--- a/sorreldock/policy/request.py
+++ b/sorreldock/policy/request.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ..hashing import key_of
+from ..hashing import hash_text
 from ..interface import RequestArrived, RequestClass, Status
 from .replica import Replica
 
@@ -32,8 +32,8 @@
     def __init__(self, event: RequestArrived, cls: RequestClass, homes: int, share: float = 0.0) -> None:
         self.event = event
         self.cls = cls
-        self.member_key = key_of(event.session or event.request)
-        self.prefix_key = key_of(event.shared_prefix) if event.shared_prefix else self.member_key
+        self.member_key = hash_text(event.session or event.request)
+        self.prefix_key = hash_text(event.shared_prefix) if event.shared_prefix else self.member_key
         self.homes = homes
         self.share = share  # of the traffic, its prefix's, as far as this gateway has seen
         self.attempts: list[Attempt] = []
--- a/sorreldock/routing/pace.py
+++ b/sorreldock/routing/pace.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..hashing import MASK, key_of
+from ..hashing import MASK, hash_text
 from ..interface import Event, Limits
 
 LONG_S = 0.01  # a batch that held the event loop for longer is worth a record
@@ -26,7 +26,7 @@
     if not limits.retry_advice:
         return 0.0
     least, most = PAUSE_S
-    return min(least + (most - least) * key_of(request) / MASK, limits.max_retry_after_s)
+    return min(least + (most - least) * hash_text(request) / MASK, limits.max_retry_after_s)
 
 
 @dataclass(slots=True)
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from ..hashing import key_of
+from ..hashing import hash_text
 from ..interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
 from .subchannel import AttemptEnded, ProbeEnded, Subchannel, Update
 from .types import Connect, ResolverResult, Target
@@ -35,7 +35,7 @@
         decisions each time that a watch is opened. `tell_all`: they may have missed something.
         """
         known = bool(self.subchannels) and not tell_all
-        numbers = [key_of(target.uid) for target in result.targets]  # alike at every router, for the draw
+        numbers = [hash_text(target.uid) for target in result.targets]  # alike at every router, for the draw
         entries = self._drop_unlisted(set(numbers)) if result.kind is not ListKind.DELTA else []
         for number, target in zip(numbers, result.targets, strict=True):
             subchannel = self.subchannels.get(number)
--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from .hashing import key_of, mix, unit
+from .hashing import hash_text, hash_to_unit, mix
 from .interface import (
     Action,
     AttemptEnded,
@@ -118,7 +118,7 @@
         self.value_sum: list[float] = []
         self.first_sum: list[float] = []
         self.zone_p = self.zone_p_at = self.lateness = 0.0
-        self.zone_salt = mix(key_of(settings.zone))
+        self.zone_salt = mix(hash_text(settings.zone))
         self.asked = False  # for a watch that is on, or that has not been lost since
         self.lost = 0
         self.fresh = {c.name: math.inf for c in settings.classes}  # new tokens a turn
@@ -192,7 +192,7 @@
     def buckets(self, request: Request) -> tuple[ReplicaGroup, ReplicaGroup]:
         """The zone first, but an over-used or crowded zone is itself rejected for a part of the keys."""
         p = max(self.zone_p, self.zone_crowding())
-        away = unit(mix(request.member_key ^ ZONE), self.zone_salt) < p
+        away = hash_to_unit(mix(request.member_key ^ ZONE), self.zone_salt) < p
         if request.attempts and request.attempts[-1].ended in UNMET:  # what lies between zones may be cut
             away = request.attempts[-1].replica.entry.zone == self.settings.zone
         if away and self.abroad:
@@ -217,7 +217,7 @@
         late = 2.0 * (self.expected(replica) - usual) / aim - kept
         age = min(max(self.now - replica.load_at, 0.0), 60.0)  # one rejected is seldom asked: p must fade
         p = max(replica.p * math.exp2(-age / FADE_S) - kept, self.refusals(replica), late)
-        return unit(mix(request.member_key ^ REJECT), replica.salt) >= p
+        return hash_to_unit(mix(request.member_key ^ REJECT), replica.salt) >= p
 
     def history(self, request: Request) -> float:
         """The part of a later turn's prompt that its session's home has kept."""
@@ -251,7 +251,7 @@
                     if self.accepts(request, replica, history):
                         crowding = self.crowding(replica, bucket)
                         excess = crowding - 1.0 - history
-                        if unit(mix(request.member_key ^ BUSY), replica.salt) >= 2.0 * excess:
+                        if hash_to_unit(mix(request.member_key ^ BUSY), replica.salt) >= 2.0 * excess:
                             return replica
                         if crowding < fewest:
                             least, fewest = replica, crowding
@@ -302,7 +302,9 @@
         spared = request.attempts or rank + 1.5 > max(most, 1.5)
         # A gateway that has seen little counts too few homes for a heavy prefix: each would bring its share.
         part = warm / max(SPREAD * request.share * len(self.zone) / request.homes, 1.0)
-        return warm >= 1.0 or (not spared and unit(mix(request.member_key ^ COLD), replica.salt) < part)
+        return warm >= 1.0 or (
+            not spared and hash_to_unit(mix(request.member_key ^ COLD), replica.salt) < part
+        )
 
     # Health.
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import GUARANTEES, START, call, entry, gateway, sends
 
-from sorreldock.hashing import key_of, mix
+from sorreldock.hashing import hash_text, mix
 from sorreldock.interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
 from sorreldock.policy.draw import STRAWS_UP_TO, longest_straw, sampled_rounds
 from sorreldock.policy.group import ReplicaGroup
@@ -19,7 +19,7 @@
 
 
 def replica(number: int, weight: float = 1.0, started_at: float = 0.0) -> Replica:
-    return Replica(ReplicaEntry(key_of(f"s-{number}"), "a", 0, weight, ReplicaState.READY, started_at))
+    return Replica(ReplicaEntry(hash_text(f"s-{number}"), "a", 0, weight, ReplicaState.READY, started_at))
 
 
 def group(replicas: list[Replica]) -> ReplicaGroup:
@@ -159,7 +159,7 @@
 
 
 def test_no_request_looks_at_all_of_a_large_fleet() -> None:
-    made: Gateway = gateway([entry(key_of(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
+    made: Gateway = gateway([entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
     made.handle(START + 1.0, [call("first", prefix="p0", now=START + 1.0)])  # builds the tables
     for members in (made.zone, made.abroad, made.everywhere):
         members._members = Counted(members._members)
@@ -167,13 +167,13 @@
     for number in range(50):
         now = START + 2.0 + number
         made.handle(now, [call(f"r{number}", prefix=f"p{number % 3}", now=now)])
-        one = ReplicaEntry(key_of(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
+        one = ReplicaEntry(hash_text(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
         made.handle(now, [ReplicaList(ListKind.DELTA, (one,), number)])
     assert Counted.looks == 0
 
 
 def test_a_fleet_of_thousands_that_is_all_cold_is_still_decided_on() -> None:
-    fresh = [entry(key_of(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
+    fresh = [entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
     made = gateway(fresh)
     actions = [made.handle(START + n * 0.01, [call(f"r{n}", now=START)]) for n in range(60)]
     assert any(sends(action) for action in actions)
