--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -80,17 +80,17 @@
 
 
 def _cold_overrun() -> list[Patch]:
-    choose = Gateway.choose
+    choose_replica = Gateway.choose_replica
 
     def coldest(self: Gateway, request: Any) -> Any:
         cold = [
             r
-            for r in self.everywhere
-            if self.warmth(r) < 1.0 and r not in [a.replica for a in request.attempts]
+            for r in self.all_zones
+            if self.capacity_share(r) < 1.0 and r not in [a.replica for a in request.attempts]
         ]
-        return min(cold, key=self.warmth) if cold else choose(self, request)
+        return min(cold, key=self.capacity_share) if cold else choose_replica(self, request)
 
-    return [(Gateway, "choose", coldest)]
+    return [(Gateway, "choose_replica", coldest)]
 
 
 def _lost_final() -> list[Patch]:
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -320,10 +320,10 @@
                 "open RPCs": core.open,
                 "names": core._names,
                 "requests in the module": gateway.requests,
-                "held in the module": gateway.held,
+                "held in the module": gateway.awaiting_probe,
                 "timers": [what for what in core._timers if what != "ask"],
                 "attempts of engines": [s for s in core.subchannels.values() if s._out],
-                "busy replicas": [r for r in gateway.replicas.values() if r.busy],
+                "busy replicas": [r for r in gateway.replicas.values() if r.open_attempts],
             }
             for what, held in left.items():
                 if held:
--- a/sorreldock/policy/group.py
+++ b/sorreldock/policy/group.py
@@ -23,7 +23,7 @@
         self._members: list[Replica] = []
         self._capacity = CapacitySum(cold_share, warm_up_s)
         self._table: SlotTable | None = None  # built when the group is large for the first time
-        self.busy = 0  # attempts of this gateway out at its members
+        self.open_attempts = 0  # attempts of this gateway out at its members
         self._weight = 0.0
 
     def __len__(self) -> int:
@@ -46,7 +46,7 @@
         """Take in a replica that is not a member."""
         bisect.insort(self._members, replica, key=_number)
         replica.groups = (*replica.groups, self)
-        self.busy += replica.busy
+        self.open_attempts += replica.open_attempts
         self._weight += replica.weight
         self._capacity.add(replica)
         if self._table is not None:
@@ -57,7 +57,7 @@
         place = bisect.bisect_left(self._members, _number(replica), key=_number)
         del self._members[place]
         replica.groups = tuple(group for group in replica.groups if group is not self)
-        self.busy -= replica.busy
+        self.open_attempts -= replica.open_attempts
         self._capacity.discard(replica)
         if self._table is not None:
             self._table.discard(replica)
--- a/sorreldock/policy/replica.py
+++ b/sorreldock/policy/replica.py
@@ -15,7 +15,7 @@
 class Group(Protocol):
     """A set of replicas with sums that follow its members."""
 
-    busy: int
+    open_attempts: int
 
     def changed(self, replica: Replica) -> None:
         """Take note that the member's capacity is another one now."""
@@ -32,14 +32,14 @@
         self.salt = mix(entry.replica + SALT_STEP)
         self._entry = entry
         self._weight = entry.weight if entry.weight > 0 else LEAST_WEIGHT
-        self._busy = 0
+        self._open_attempts = 0
         self.elsewhere = 0  # attempts that another process of this gateway has out there; part of `busy`
         self.forget()
 
     def forget(self) -> None:
         """Drop all that was learned of the process that ran before."""
         self.failed_until = self.first_at = self.load_at = self.probed_at = self.heard_at = -math.inf
-        self.strikes = 0
+        self.failure_count = 0
         self.fair = False
         self.first_s = self.refused = 0.0
         self.refused_at = self.down_at = -math.inf  # down: no process listened, who does has started since
@@ -73,15 +73,15 @@
                 group.reweighted(self)
 
     @property
-    def busy(self) -> int:
+    def open_attempts(self) -> int:
         """Attempts of this gateway that are out there, streams included."""
-        return self._busy
+        return self._open_attempts
 
-    @busy.setter
-    def busy(self, busy: int) -> None:
+    @open_attempts.setter
+    def open_attempts(self, open_attempts: int) -> None:
         for group in self.groups:
-            group.busy += busy - self._busy
-        self._busy = busy
+            group.open_attempts += open_attempts - self._open_attempts
+        self._open_attempts = open_attempts
 
     @property
     def failed_until(self) -> float:
--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -68,7 +68,17 @@
 CROWDED = 1.25
 ZONE_CROWDED = 0.8  # of the whole fleet's fair share; measured: what crosses costs less than slow streams
 # What one process of a gateway tells the one that follows: of each replica, and of the whole.
-LEARNED = ("failed_until", "strikes", "first_at", "first_s", "load", "load_at", "p", "refused", "refused_at")
+LEARNED = (
+    "failed_until",
+    "failure_count",
+    "first_at",
+    "first_s",
+    "load",
+    "load_at",
+    "p",
+    "refused",
+    "refused_at",
+)
 LEARNED_IN_ALL = (
     "heat",
     "seen",
@@ -99,12 +109,12 @@
         self.classes = {c.name: c for c in settings.classes}
         self.replicas: dict[int, Replica] = {}
         guarantees = settings.guarantees
-        self.zone, self.everywhere, self.abroad = (
+        self.local_zone, self.all_zones, self.other_zones = (
             ReplicaGroup(guarantees.cold_share, guarantees.warm_up_s) for _ in range(3)
         )
         self.winners: dict[tuple[int, bool], dict[int, Replica]] = {}
         self.requests: dict[str, Request] = {}
-        self.held: dict[str, Request] = {}  # those that wait for a probe
+        self.awaiting_probe: dict[str, Request] = {}  # those that wait for a probe
         self.now = 0.0
         self.out: list[Action] = []
         self.heat: dict[str, float] = {}
@@ -179,11 +189,11 @@
 
     def drawn(self, bucket: ReplicaGroup, x: int, r: int) -> Replica:
         """The draw's winner, kept until a change to the list moves keys."""
-        known = self.winners.get((x, bucket is self.zone))
+        known = self.winners.get((x, bucket is self.local_zone))
         if known is None:
             if len(self.winners) >= REMEMBERED:
                 self.winners.clear()
-            known = self.winners[x, bucket is self.zone] = {}
+            known = self.winners[x, bucket is self.local_zone] = {}
         winner = known.get(r)
         if winner is None:
             winner = known[r] = bucket.draw(x, r)
@@ -195,19 +205,23 @@
         away = hash_to_unit(mix(request.member_key ^ ZONE), self.zone_salt) < p
         if request.attempts and request.attempts[-1].ended in UNMET:  # what lies between zones may be cut
             away = request.attempts[-1].replica.entry.zone == self.settings.zone
-        if away and self.abroad:
-            return self.abroad, self.zone
-        return self.zone, self.abroad
+        if away and self.other_zones:
+            return self.other_zones, self.local_zone
+        return self.local_zone, self.other_zones
 
     def zone_crowding(self) -> float:
         """The part of the keys that leaves a zone whose replicas are too few for what this gateway has out
         there, measured by the fair share of the whole fleet if all gateways have as much out.
         """
-        if not self.zone or not self.abroad:
+        if not self.local_zone or not self.other_zones:
             return 0.0
-        here = self.zone.busy / max(self.zone.capacity(self.now), 1e-9)
-        fair = self.settings.gateways * self.everywhere.busy / max(self.everywhere.capacity(self.now), 1e-9)
-        bound = max(ZONE_CROWDED * fair, ROOMY / max(self.everywhere.mean_weight, 1e-9))
+        here = self.local_zone.open_attempts / max(self.local_zone.capacity(self.now), 1e-9)
+        fair = (
+            self.settings.gateways
+            * self.all_zones.open_attempts
+            / max(self.all_zones.capacity(self.now), 1e-9)
+        )
+        bound = max(ZONE_CROWDED * fair, ROOMY / max(self.all_zones.mean_weight, 1e-9))
         return min(max(here / bound - 1.0, 0.0), 0.9)
 
     def accepts(self, request: Request, replica: Replica, history: float) -> bool:
@@ -228,22 +242,22 @@
     def crowding(self, replica: Replica, bucket: ReplicaGroup) -> float:
         """Own attempts out at a replica, with one more, as a multiple of the bound on its share of them."""
         share = self.capacity(replica) / max(bucket.capacity(self.now), 1e-9)
-        mean = share * (bucket.busy + 1)
+        mean = share * (bucket.open_attempts + 1)
         chance = 2.0 * math.sqrt(mean * max(1.0 - MANY / self.settings.gateways, 0.0))  # a small part of all
-        return (replica.busy + 1) / max(CROWDED * mean, mean + chance, FEW)
+        return (replica.open_attempts + 1) / max(CROWDED * mean, mean + chance, FEW)
 
     def capacity(self, replica: Replica) -> float:
         """What the draw counts on; speeds are not known, but who is slow keeps its attempts for longer."""
-        return 0.0 if replica.failed_until > self.now else replica.weight * self.warmth(replica)
+        return 0.0 if replica.failed_until > self.now else replica.weight * self.capacity_share(replica)
 
-    def choose(self, request: Request) -> Replica | None:
+    def choose_replica(self, request: Request) -> Replica | None:
         tried = [a.replica for a in request.attempts]
         spare: Replica | None = None
         for bucket in self.buckets(request):
             least: Replica | None = None
-            fewest, kept = math.inf, self.history(request) if bucket is self.zone else 0.0
+            fewest, kept = math.inf, self.history(request) if bucket is self.local_zone else 0.0
             for rank, replica in self.candidates(request, bucket):
-                rank += 0 if bucket is self.zone else 1
+                rank += 0 if bucket is self.local_zone else 1
                 if replica in tried or not self.permitted(request, replica):
                     continue
                 if replica.failed_until <= self.now and self.warm_for(request, replica, rank):
@@ -281,11 +295,11 @@
     def usable(self, replica: Replica, failed: bool = False) -> bool:
         """Whether it may be a last resort. One that turned requests away twice in 2 s would do so again."""
         flagged = replica.failed_until > self.now and not failed
-        return self.warmth(replica) >= 1.0 and self.refusals(replica) <= 0.5 and not flagged
+        return self.capacity_share(replica) >= 1.0 and self.refusals(replica) <= 0.5 and not flagged
 
     # Warm-up.
 
-    def warmth(self, replica: Replica) -> float:
+    def capacity_share(self, replica: Replica) -> float:
         """The share of its work that a replica can do at least, as the guarantees state it."""
         g = self.settings.guarantees
         started_at = max(replica.entry.started_at, replica.down_at)
@@ -298,10 +312,10 @@
         """A cold one takes its share of its keys by session, lest each turn finds another home. At worst each
         choice brings it as much as the first: so many that half a share is left until it falls over.
         """
-        warm, most = self.warmth(replica), self.settings.guarantees.overload_multiple
+        warm, most = self.capacity_share(replica), self.settings.guarantees.overload_multiple
         spared = request.attempts or rank + 1.5 > max(most, 1.5)
         # A gateway that has seen little counts too few homes for a heavy prefix: each would bring its share.
-        part = warm / max(SPREAD * request.share * len(self.zone) / request.homes, 1.0)
+        part = warm / max(SPREAD * request.share * len(self.local_zone) / request.homes, 1.0)
         return warm >= 1.0 or (
             not spared and hash_to_unit(mix(request.member_key ^ COLD), replica.salt) < part
         )
@@ -309,8 +323,8 @@
     # Health.
 
     def failed(self, replica: Replica) -> None:
-        pause = min(FIRST_FLAG_S * 2**replica.strikes, LONGEST_FLAG_S)
-        replica.strikes = min(replica.strikes + 1, MOST_DOUBLED)
+        pause = min(FIRST_FLAG_S * 2**replica.failure_count, LONGEST_FLAG_S)
+        replica.failure_count = min(replica.failure_count + 1, MOST_DOUBLED)
         replica.failed_until = self.now + pause * self.random.uniform(0.75, 1.25)
 
     def aim(self, request: Request) -> float:
@@ -341,7 +355,7 @@
         ratios, values = [], []
         for k, (metric, value) in enumerate(zip(self.settings.metrics, report, strict=True)):
             if metric in (Metric.IN_FLIGHT, Metric.QUEUE_LENGTH, Metric.UNREAD_KTOKENS):
-                value, floor = value * self.everywhere.mean_weight / replica.weight, 1.0
+                value, floor = value * self.all_zones.mean_weight / replica.weight, 1.0
                 values.append(value + floor)
             elif metric in (Metric.UTILIZATION, Metric.MEMORY_SHARE):
                 floor = 0.2
@@ -390,9 +404,10 @@
         elif event.status is not Status.NOT_SENT:  # which says nothing of the replica
             replica.down_at = self.now if event.status is Status.NO_LISTENER else replica.down_at
             self.over_used(replica)
-        for request in list(self.held.values()):  # not all open ones: that cost a stormy day its CPU
+        # Not all open requests: looking at each of them used up the CPU under a storm of probes.
+        for request in list(self.awaiting_probe.values()):
             if request.awaited is replica:
-                del self.held[request.event.request]
+                del self.awaiting_probe[request.event.request]
                 request.awaited = None
                 self.place(request)
 
@@ -419,7 +434,7 @@
         if self.random.random() < 0.02:
             self.heat = {k: v for k, v in ((k, v * 0.995**50) for k, v in self.heat.items()) if v > 0.1}
         heat = self.heat[event.shared_prefix] = self.heat.get(event.shared_prefix, 0.0) + 1.0
-        homes = math.ceil(SPREAD * heat / (self.seen + 5.0) * len(self.zone) - 0.5)
+        homes = math.ceil(SPREAD * heat / (self.seen + 5.0) * len(self.local_zone) - 0.5)
         return max(1, homes), heat / self.seen
 
     def survey(self) -> None:
@@ -427,9 +442,9 @@
         price, part = self.settings.prices.probe, MANY / self.settings.gateways
         if self.lateness > 0.1:  # then its zone may be worse off than others, of which few surveys tell
             part = 1.0
-        if self.settings.limits.probes and self.everywhere:
+        if self.settings.limits.probes and self.all_zones:
             self.probe_credit = min(self.probe_credit + min(3.0, 0.005 / max(price, 1e-6)), 6.0)
-            other = self.random.choice(self.everywhere)
+            other = self.random.choice(self.all_zones)
             if self.random.random() < part and max(other.load_at + 0.1, other.failed_until) <= self.now:
                 self.ask_load(other, True)
 
@@ -452,7 +467,7 @@
             return False
         request.asked.append(replica)
         request.awaited = replica
-        self.held[request.event.request] = request
+        self.awaiting_probe[request.event.request] = request
         return True
 
     def permitted(self, request: Request, replica: Replica) -> bool:
@@ -481,7 +496,7 @@
         """Send the next attempt or, when none can be sent and none is out, end the request."""
         left = request.event.expires_at - self.now
         if left > 0 and self.has_another(request):
-            replica = self.choose(request)
+            replica = self.choose_replica(request)
             if replica is not None:
                 if not self.consults(request, replica):
                     self.send(request, replica, left)
@@ -492,7 +507,7 @@
 
     def send(self, request: Request, replica: Replica, left: float) -> None:
         request.attempts.append(Attempt(replica, self.now))
-        replica.busy += 1
+        replica.open_attempts += 1
         self.out.append(StartAttempt(request.event.request, replica.entry.replica, left))
         late = max(self.quantile[request.cls.name], 0.5 * self.aim(request), 3.0 * self.expected(replica))
         if request.cls.streamed and late < left:
@@ -515,7 +530,7 @@
 
     def finish(self, request: Request) -> None:
         request.done = True
-        self.held.pop(request.event.request, None)
+        self.awaiting_probe.pop(request.event.request, None)
         if not request.running():
             del self.requests[request.event.request]
 
@@ -528,7 +543,7 @@
         self.moves = min(self.moves + 0.1, MOST_MOVES)
         attempt.replica.first_at = self.now
         attempt.replica.passed = max(attempt.replica.passed, (attempt.sent_at, event.latency_s))
-        attempt.replica.strikes = max(attempt.replica.strikes - 1, 0)
+        attempt.replica.failure_count = max(attempt.replica.failure_count - 1, 0)
         self.learn(request.cls, self.now - attempt.sent_at)
         self.learn_scale(attempt, event.latency_s)
         if attempt.replica.entry.zone == self.settings.zone:
@@ -548,9 +563,9 @@
             return
         attempt.ended = event.status
         replica = attempt.replica
-        replica.busy -= 1
+        replica.open_attempts -= 1
         if event.status is Status.OK:
-            replica.strikes = max(replica.strikes - 1, 0)
+            replica.failure_count = max(replica.failure_count - 1, 0)
         replica.down_at = self.now if event.status is Status.NO_LISTENER else replica.down_at
         if event.status in FAILURES:
             self.failed(replica)
@@ -586,7 +601,7 @@
             return
         if kind == "place" and request.awaited is not None:
             self.over_used(request.awaited)  # its probe waits as a request would
-            self.held.pop(name, None)
+            self.awaiting_probe.pop(name, None)
             request.awaited, request.patient_until = None, -math.inf  # lest it waits for a second probe
             self.place(request)
         elif kind == "late" and number.isdigit() and not any(a.started for a in request.attempts):
@@ -613,7 +628,7 @@
         elif limits.probes and self.now - replica.probed_at < UNHEARD_S:
             return
         else:
-            if 2 * self.zone.flagged(self.now) < len(self.zone):
+            if 2 * self.local_zone.flagged(self.now) < len(self.local_zone):
                 self.failed(replica)  # when all slow together, none is to blame
             stuck = limits.probes
         if stuck and movable:
@@ -655,14 +670,14 @@
         if known.weight != max(entry.weight, 0.0):
             self.winners.clear()
         known.entry, known.weight = entry, entry.weight
-        here = self.zone if entry.zone == self.settings.zone else self.abroad
-        self.regroup(known, (self.everywhere, here) if entry.state is ReplicaState.READY else ())
+        here = self.local_zone if entry.zone == self.settings.zone else self.other_zones
+        self.regroup(known, (self.all_zones, here) if entry.state is ReplicaState.READY else ())
 
     def regroup(self, replica: Replica, groups: tuple[ReplicaGroup, ...]) -> None:
         """Let a replica be in these groups, and no other; draws are taken anew if that is a change."""
         if replica.groups == groups:
             return
-        for group in (self.everywhere, self.zone, self.abroad):
+        for group in (self.all_zones, self.local_zone, self.other_zones):
             if replica in group and group not in groups:
                 group.discard(replica)
         for group in groups:
@@ -701,7 +716,7 @@
         """What another process of this gateway has out counts like what is out here."""
         for number, replica in self.replicas.items():
             told = counts.get(number, 0)
-            replica.busy, replica.elsewhere = replica.busy + told - replica.elsewhere, told
+            replica.open_attempts, replica.elsewhere = replica.open_attempts + told - replica.elsewhere, told
 
     def ask_later(self, share: float) -> None:
         """Spread the calls, lest all gateways ask in step after one loss or a common start."""
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -275,7 +275,7 @@
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
-        assert all(replica.strikes == 0 for replica in gateway.replicas.values())
+        assert all(replica.failure_count == 0 for replica in gateway.replicas.values())
 
 
 def test_events_are_cut_where_they_end_and_are_never_changed() -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -136,7 +136,7 @@
         while core.open:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
-        assert core._gateway.everywhere.busy == 0 and not core._gateway.requests
+        assert core._gateway.all_zones.open_attempts == 0 and not core._gateway.requests
         await wire.stream.aclose()
     assert len(first.calls) + len(second.calls) == 1
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -41,7 +41,7 @@
     assert len(out) == 60 and max(counts.values()) <= 1.5 * CROWDED * 60 / 3 and len(counts) == 3
     for action in out:
         gw.handle(START, [AttemptEnded(action.request, 0, action.replica, Status.OK, 0.5, True)])
-    assert all(replica.busy == 0 for replica in gw.replicas.values())
+    assert all(replica.open_attempts == 0 for replica in gw.replicas.values())
     assert homes(gw, KEYS[:50]) == before
 
 
@@ -207,7 +207,8 @@
         [sent] = sends(gw.handle(START, [turn(f"t{n}", told)]))
         gw.handle(START, [AttemptEnded(sent.request, 0, sent.replica, Status.OK, 0.1, True, 900)])
     home = gw.replicas[sent.replica]
-    home.busy, home.p, home.load_at = 3, 0.8, START  # what one of 200 gateways has out there, and a report
+    # Attempts of one of 200 gateways at this replica, and a load report.
+    home.open_attempts, home.p, home.load_at = 3, 0.8, START
     [sent] = sends(gw.handle(START, [turn("next", prompt)]))
     assert (sent.replica == home.entry.replica) == (prompt == 5000)
 
@@ -216,7 +217,7 @@
     crowded = {}
     for gateways in (4, 200):
         gw = gateway(fleet(8), gateways=gateways)
-        for replica, busy in zip(gw.zone, (2, 2, 2, 1, 1), strict=False):
-            replica.busy = busy
-        crowded[gateways] = gw.crowding(gw.zone[0], gw.zone)
+        for replica, busy in zip(gw.local_zone, (2, 2, 2, 1, 1), strict=False):
+            replica.open_attempts = busy
+        crowded[gateways] = gw.crowding(gw.local_zone[0], gw.local_zone)
     assert crowded[4] > 1.0 >= crowded[200]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -132,7 +132,7 @@
             case 2:
                 member.weight = draw.uniform(0.1, 3.0)
             case 3:
-                member.busy += 1
+                member.open_attempts += 1
             case 4:
                 member.forget()
             case 5 if member in fleet:
@@ -143,7 +143,7 @@
         here = [member for member in members if member in fleet]
         assert fleet.capacity(now) == pytest.approx(added_up(here, now), rel=1e-6, abs=1e-6)
         assert fleet.flagged(now) == sum(member.failed_until > now for member in here)
-        assert fleet.busy == sum(member.busy for member in here)
+        assert fleet.open_attempts == sum(member.open_attempts for member in here)
         assert fleet.mean_weight == pytest.approx(sum(member.weight for member in here) / max(len(here), 1))
 
 
@@ -161,7 +161,7 @@
 def test_no_request_looks_at_all_of_a_large_fleet() -> None:
     made: Gateway = gateway([entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
     made.handle(START + 1.0, [call("first", prefix="p0", now=START + 1.0)])  # builds the tables
-    for members in (made.zone, made.abroad, made.everywhere):
+    for members in (made.local_zone, made.other_zones, made.all_zones):
         members._members = Counted(members._members)
     Counted.looks = 0
     for number in range(50):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -399,13 +399,13 @@
 def test_a_session_whose_draws_are_all_full_goes_to_replicas_that_have_room() -> None:
     """Refusal follows room: by the key alone, all turns of a session would be refused."""
     gw = gateway(fleet(24))
-    drawn = [replica for _, replica in gw.candidates(Request(call("r", session="s"), SAFE, 1), gw.zone)]
+    drawn = [replica for _, replica in gw.candidates(Request(call("r", session="s"), SAFE, 1), gw.local_zone)]
     assert 1 < len(drawn) < 24
     for replica in [*drawn, *drawn]:
         gw.over_used(replica)
     served = sends(gw.handle(START + 0.01, [call(f"r{k}", session="s") for k in range(20)]))
     assert len(served) == 20 and not {s.replica for s in served} & {r.entry.replica for r in drawn}
-    for replica in [*gw.zone, *gw.zone]:
+    for replica in [*gw.local_zone, *gw.local_zone]:
         gw.over_used(replica)
     actions = gw.handle(START + 0.02, [call("full", session="s")])
     assert any(isinstance(a, RefuseRequest) for a in actions) and not sends(actions)
@@ -437,10 +437,10 @@
         s.replica == 3 for k in range(400) for s in sends(gw.handle(later, [call(f"x{k}", now=later)]))
     )
     cold = status is Status.NO_LISTENER
-    assert gw.warmth(gw.replicas[3]) == (pytest.approx(0.4) if cold else 1.0)
+    assert gw.capacity_share(gw.replicas[3]) == (pytest.approx(0.4) if cold else 1.0)
     assert 0 < taken < 75 if cold else taken > 75
     gw.handle(later, [listing(entry(3, started_at=later - 1.0), kind=ListKind.DELTA)])
-    assert gw.warmth(gw.replicas[3]) == pytest.approx(0.2 + 0.8 * 1.0 / GUARANTEES.warm_up_s)
+    assert gw.capacity_share(gw.replicas[3]) == pytest.approx(0.2 + 0.8 * 1.0 / GUARANTEES.warm_up_s)
 
 
 def test_a_fresh_start_resets_what_was_believed() -> None:
@@ -449,7 +449,7 @@
     gw.replicas[1].p = 1.0
     gw.handle(START + 1.0, [listing(entry(1, started_at=START + 0.5), kind=ListKind.DELTA)])
     assert gw.replicas[1].failed_until < START and gw.replicas[1].p == 0.0
-    assert gw.warmth(gw.replicas[1]) < 1.0
+    assert gw.capacity_share(gw.replicas[1]) < 1.0
 
 
 def test_an_asking_gateway_subscribes_soon_and_again_after_a_loss() -> None:
@@ -666,14 +666,15 @@
     for gw, until in ((second, flagged), (other, -math.inf)):  # other settings: nothing of it is taken
         gw.handle(START + 0.1, [Learned(told)])
         assert gw.replicas[send.replica].failed_until == until
-    assert second.replicas[send.replica].strikes == 1 and second.seen == first.seen
+    assert second.replicas[send.replica].failure_count == 1 and second.seen == first.seen
     started = gateway([entry(send.replica, started_at=START - 1)])
     started.handle(START + 0.1, [Learned(told)])
-    assert started.replicas[send.replica].strikes == 0  # an engine that has started since is another one
+    # A server process that has started since is another one.
+    assert started.replicas[send.replica].failure_count == 0
     replica = second.replicas[send.replica]
     for counts, busy in (({send.replica: 3, 99: 1}, 3), ({send.replica: 1}, 1), ({}, 0)):
         second.handle(START + 0.2, [OutElsewhere(counts)])
-        assert replica.busy == busy
+        assert replica.open_attempts == busy
 
 
 def test_the_more_gateways_there_are_the_less_each_surveys() -> None:
