--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -129,7 +129,9 @@
 
     def evict_clients(self) -> bool:
         """Close a client connection for a newcomer, or some; tells whether there was one."""
-        shed = [c for c in self.queue.select_evictions(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable]
+        shed = [
+            c for c in self.queue.select_evictions(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable
+        ]
         for client in shed:
             self.shed[client.stage.value] += 1
             client.evict()
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -185,7 +185,9 @@
         conn_idle_s: float,
         dial: Dial = dial,
     ) -> None:
-        super().__init__(ConnectionPool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial))
+        super().__init__(
+            ConnectionPool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial)
+        )
         self._address = address
 
     async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -101,7 +101,9 @@
                     with trio.move_on_after(1.0):
                         await self.wire.flushed()  # the farewell, if the client was at fault
                     if self.at_fault:
-                        await self.wire.connection.lingering_close(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
+                        await self.wire.connection.lingering_close(
+                            limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S
+                        )
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
             pass  # the client has gone, or is none of ours
