--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -17,13 +17,13 @@
 
 from ..kserve import kserve_pb2 as pb
 from ..kserve.framing import (
-    LARGEST_HEADERS,
+    MAX_HEADER_LIST_BYTES,
     SERVICE,
     Code,
-    Farewell,
-    Farewells,
+    Deframer,
+    GoAway,
+    GoAwayFilter,
     GrpcError,
-    Unframer,
     format_timeout,
     frame,
     status_of,
@@ -91,7 +91,7 @@
             client=True,
             initial_values={
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: LARGEST_HEADERS,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
             },
         )
         self.h2.initiate_connection()
@@ -102,7 +102,7 @@
         self.last_received_at = now
         self.pinged_at: float | None = None
         self.on_closing: Callable[[], None] = lambda: None
-        self._goaways = Farewells(preface=False)
+        self._goaway_filter = GoAwayFilter(preface=False)
         self._pending = self.h2.data_to_send()
         self._data_pending = anyio.Event()
         self._lost: ConnectionLost | None = None
@@ -154,21 +154,21 @@
             if not data:
                 raise ConnectionLost("closed by the router")
             self.last_received_at, self.pinged_at = anyio.current_time(), None
-            rest, goaways = self._goaways.strip(data)
+            rest, goaways = self._goaway_filter.strip(data)
             for event in self.h2.receive_data(rest):
                 self._handle_event(event)
             for goaway in goaways:
-                self._handle_goaway(goaway)
+                self._on_goaway(goaway)
             self.flush()
             if self.closing and not self.slots_in_use:
                 raise ConnectionLost("closed after the router's GOAWAY")
 
-    def _handle_goaway(self, goaway: Farewell) -> None:
+    def _on_goaway(self, goaway: GoAway) -> None:
         if not self.closing:
             self.closing = True
             self.on_closing()
         for stream_id, exchange in list(self.exchanges.items()):
-            if stream_id > goaway.last_stream:  # RFC 9113 6.8: the router does not process it
+            if stream_id > goaway.last_stream_id:  # RFC 9113 6.8: the router does not process it
                 exchange.end_with(Outcome(OutcomeKind.NEVER_RAN, "not processed before GOAWAY", stale=True))
 
     def _handle_event(self, event: h2.events.Event) -> None:
@@ -258,7 +258,7 @@
         self.connection = connection
         self._request, self._mark = request, mark
         self._message = frame(encode_request(request, body, mark.trace_id))
-        self._unframer = Unframer(connection.max_event_bytes)
+        self._deframer = Deframer(connection.max_event_bytes)
         self._unacknowledged = 0
         self._headers: dict[str, str] = {}
         self._stream_id = 0
@@ -281,7 +281,7 @@
 
     def receive_data(self, data: bytes, flow_controlled_bytes: int) -> None:
         self._unacknowledged += flow_controlled_bytes
-        self._unframer.feed(data)
+        self._deframer.feed(data)
         self.notify()
 
     def connection_lost(self, lost: ConnectionLost) -> None:
@@ -366,10 +366,10 @@
         while True:
             changed = self._changed
             try:
-                message = self._unframer.next()
+                message = self._deframer.next()
             except GrpcError as error:
                 raise ConnectionLost(error.message) from None
-            if message is not None or self._unframer.partial:  # a long message needs more window
+            if message is not None or self._deframer.partial:  # a long message needs more window
                 self.connection.acknowledge(self._unacknowledged, self._stream_id)
                 self._unacknowledged = 0
                 self.connection.flush()
@@ -383,7 +383,7 @@
             self._raise_if_lost()
             if self.ended:
                 code, text = status_of(self._headers)
-                if code == Code.OK and not self._unframer.partial:
+                if code == Code.OK and not self._deframer.partial:
                     self.is_complete = True
                     return None
                 if not awaits_first:
--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -13,17 +13,17 @@
 
 from ...interface import ReplicaState, Status
 from ...program import serve
-from ...protocol import engine as engine_client
-from ...protocol.engine import PooledEngineClient
+from ...protocol import server_client
 from ...protocol.front import Front
 from ...protocol.http.front import ClientConnection
+from ...protocol.server_client import PooledServerClient
 from ...routing import core as core_module
 from ...routing.core import Core
 from ...routing.subchannel import Subchannel
 from ...routing.types import Outcome
 from ...rules import Gateway
-from ...transport.budget import Payloads
-from ...transport.pool import Pool
+from ...transport.budget import PayloadBudget
+from ...transport.pool import ConnectionPool
 from .explore import Explored, explore_here
 from .scenario import draw
 
@@ -44,18 +44,18 @@
 
     def both(self: Core, request: str, replica: int, timeout_s: float) -> None:
         start(self, request, replica, timeout_s)
-        entry = self.open.get(request)
+        entry = self.open_rpcs.get(request)
         others = [n for n, s in self.subchannels.items() if s.ready and n != replica]
-        if entry is not None and entry.out == 1 and len(entry.attempts) == 1 and others:
-            entry.out = 0
+        if entry is not None and entry.in_flight == 1 and len(entry.attempts) == 1 and others:
+            entry.in_flight = 0
             start(self, request, others[0], timeout_s)
-            entry.out += 1
+            entry.in_flight += 1
 
     return [(Core, "_start", both)]
 
 
 def _pool_resends() -> list[Patch]:
-    call = PooledEngineClient.call
+    call = PooledServerClient.call
 
     async def again(self: Any, rpc: Any, progress: Any) -> Any:
         report = await call(self, rpc, progress)
@@ -63,34 +63,34 @@
             return await call(self, rpc, progress)
         return report
 
-    return [(PooledEngineClient, "call", again)]
+    return [(PooledServerClient, "call", again)]
 
 
 def _sends_after_drain() -> list[Patch]:
-    resolved = Core.resolved
+    apply_resolver_result = Core.apply_resolver_result
 
     def ready(self: Core, result: Any) -> None:
         targets = [
             t if t.state is ReplicaState.GONE else replace(t, state=ReplicaState.READY)
             for t in result.targets
         ]
-        resolved(self, replace(result, targets=tuple(targets)))
+        apply_resolver_result(self, replace(result, targets=tuple(targets)))
 
-    return [(Core, "resolved", ready)]
+    return [(Core, "apply_resolver_result", ready)]
 
 
 def _cold_overrun() -> list[Patch]:
-    choose = Gateway.choose
+    choose_replica = Gateway.choose_replica
 
     def coldest(self: Gateway, request: Any) -> Any:
         cold = [
             r
-            for r in self.everywhere
-            if self.warmth(r) < 1.0 and r not in [a.replica for a in request.attempts]
+            for r in self.all_zones
+            if self.capacity_share(r) < 1.0 and r not in [a.replica for a in request.attempts]
         ]
-        return min(cold, key=self.warmth) if cold else choose(self, request)
+        return min(cold, key=self.capacity_share) if cold else choose_replica(self, request)
 
-    return [(Gateway, "choose", coldest)]
+    return [(Gateway, "choose_replica", coldest)]
 
 
 def _lost_final() -> list[Patch]:
@@ -106,7 +106,7 @@
 
 
 def _reordered() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
     held: dict[Any, bytes] = {}
 
     async def swaps(self: ClientConnection, data: bytes) -> None:
@@ -115,38 +115,38 @@
             return
         await event(self, data + held.pop(self, b""))
 
-    return [(ClientConnection, "event", swaps)]
+    return [(ClientConnection, "send_event", swaps)]
 
 
 def _dropped() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
 
     async def drops(self: ClientConnection, data: bytes) -> None:
         if b'"w2 "' not in data:
             await event(self, data)
 
-    return [(ClientConnection, "event", drops)]
+    return [(ClientConnection, "send_event", drops)]
 
 
 def _held() -> list[Patch]:
-    event = ClientConnection.event
+    event = ClientConnection.send_event
 
     async def later(self: ClientConnection, data: bytes) -> None:
         await trio.sleep(0.06)
         await event(self, data)
 
-    return [(ClientConnection, "event", later)]
+    return [(ClientConnection, "send_event", later)]
 
 
 def _descriptor_leak() -> list[Patch]:
-    give_back = Pool.give_back
+    release = ConnectionPool.release
 
     def leaks(self: Any, line: Any, whole: bool) -> None:
         if not whole:
             line.connection._on_close = lambda: None
-        give_back(self, line, whole)
+        release(self, line, whole)
 
-    return [(Pool, "give_back", leaks)]
+    return [(ConnectionPool, "release", leaks)]
 
 
 def _ends_whole() -> list[Patch]:
@@ -161,25 +161,25 @@
 
 
 def _names_leak() -> list[Patch]:
-    forget = Core._forget_if_over
+    forget = Core._remove_if_complete
 
     def keeps(self: Core, entry: Any) -> None:
         names = set(self._names)
         forget(self, entry)
         self._names |= names
 
-    return [(Core, "_forget_if_over", keeps)]
+    return [(Core, "_remove_if_complete", keeps)]
 
 
 def _forgotten_end() -> list[Patch]:
-    return [(Core, "_too_late", lambda self, request, replica: None)]
+    return [(Core, "_report_unsent_attempt", lambda self, request, replica: None)]
 
 
 def _cut_at_stop() -> list[Patch]:
     async def at_once(self: Any, within_s: float) -> None:
         await trio.lowlevel.checkpoint()
 
-    return [(serve, "DRAIN_S", 0.0), (Front, "closed", at_once)]
+    return [(serve, "DRAIN_S", 0.0), (Front, "wait_closed", at_once)]
 
 
 MUTANTS: dict[str, Mutant] = {
@@ -199,17 +199,21 @@
     "ends-whole": Mutant("a broken stream ends as if it were whole", "unchanged", _ends_whole),
     "descriptor-leak": Mutant("a descriptor is lost with each reset", "leak", _descriptor_leak),
     "payload-leak": Mutant(
-        "payloads are not given back", "leak", lambda: [(Payloads, "give_back", lambda self, count: None)]
+        "payloads are not given back",
+        "leak",
+        lambda: [(PayloadBudget, "release", lambda self, count: None)],
     ),
     "names-leak": Mutant("names of ended RPCs are kept", "leak", _names_leak),
     "forgotten-end": Mutant("the module does not hear of an attempt not made", "leak", _forgotten_end),
     "no-silence-timer": Mutant(
         "the timer for engines that go silent never fires",
         "rest",
-        lambda: [(engine_client, "SILENCE_S", 1e9), (engine_client, "OPENING_S", 1e9)],
+        lambda: [(server_client, "EVENT_GAP_TIMEOUT_S", 1e9), (server_client, "FIRST_EVENT_TIMEOUT_S", 1e9)],
     ),
     "keeps-idle": Mutant(
-        "idle connections outlive the program's end", "leak", lambda: [(Subchannel, "run", Subchannel._obey)]
+        "idle connections outlive the program's end",
+        "leak",
+        lambda: [(Subchannel, "run", Subchannel._process_orders)],
     ),
     "no-linger": Mutant("newcomers after SIGTERM are not taken", "final", lambda: [(serve, "LINGER_S", 0.0)]),
     "cut-at-stop": Mutant("a stopping router cuts what still streams", "whole", _cut_at_stop),
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -18,9 +18,9 @@
 from ..protocol.http.discovery import ListError, Resolver, decode_result, encode_result
 from ..routing.core import Core
 from ..routing.types import Log, ResolverResult, Target
-from ..transport.budget import Descriptors, Use
+from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection
-from ..transport.failures import repeated
+from ..transport.failures import retry_transient
 from ..transport.listener import Listener
 from . import handover
 from .handover import Broken
@@ -65,9 +65,9 @@
                     rights = []
                     if descriptor is not None:
                         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-                    data = data[await repeated(partial(self._sock.sendmsg, [data], rights)) :]
+                    data = data[await retry_transient(partial(self._sock.sendmsg, [data], rights)) :]
                     while data:
-                        data = data[await repeated(partial(self._sock.send, data)) :]
+                        data = data[await retry_transient(partial(self._sock.send, data)) :]
                     return True
                 except (OSError, trio.ClosedResourceError):
                     pass
@@ -79,7 +79,7 @@
         while not self._waiting:
             try:
                 space = socket.CMSG_SPACE(MOST_FDS * NUMBER)
-                data, rights, flags, _ = await repeated(partial(self._sock.recvmsg, 65536, space))
+                data, rights, flags, _ = await retry_transient(partial(self._sock.recvmsg, 65536, space))
             except (OSError, trio.ClosedResourceError) as error:
                 raise Broken(str(error) or "closed") from None
             for level, kind, payload in rights:
@@ -113,7 +113,7 @@
         folder: str,
         core: Core,
         resolver: Resolver,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         log: Log,
         pid: int,
         in_company: Callable[[bool], None],
@@ -158,8 +158,8 @@
 
     def _take(self, state: dict[str, Any]) -> None:
         result = decode_result(state.get("list"), ListKind.CACHED)
-        self._resolver.follow(result.version)
-        self._core.resolved(result)
+        self._resolver.start_from(result.version)
+        self._core.apply_resolver_result(result)
         learned = state.get("learned")
         if isinstance(learned, dict):
             self._core.restore(learned)
@@ -227,7 +227,7 @@
             if why:
                 await link.send("fail", version=handover.VERSION, why=why)
                 return
-            listing = {**encode_result(self._core.listing()), "rev": self._resolver.version}
+            listing = {**encode_result(self._core.known_servers()), "rev": self._resolver.version}
             state: dict[str, Any] = {"version": handover.VERSION, "pid": self._pid, "list": listing}
             self._successor = link
             if not await link.send("state", None, **state, learned=self._core.snapshot()):
@@ -242,7 +242,7 @@
             if self._successor is link:
                 self._successor = None
                 if self._front is not None:  # nobody takes them any more: answers say that they end
-                    self._front.passed_on = None
+                    self._front.pass_connection = None
             link.close()
 
     def leave(self, front: Front[Any]) -> bool:
@@ -250,7 +250,7 @@
         if self._successor is None:
             return False
         self._leaving, self._front = True, front
-        front.passed_on = self._pass_on
+        front.pass_connection = self._pass_on
         for link in self._links:
             link.wake.set()
         return True
@@ -287,19 +287,19 @@
             for link in others:
                 for replica, count in link.out.items():
                     out[replica] = out.get(replica, 0) + count
-            self._core.out_elsewhere(out)
+            self._core.set_peer_attempts(out)
             used, leave = sum(link.used for link in others), all(link.leaving for link in others)
-            usable = self._budget.usable_with(len(others))
+            usable = self._budget.usable_in_total(len(others))
             mine = sum(self._budget.used.values())
             portion = handover.portion(usable, mine, self._leaving, used, leave)
             if self._leaving:  # what it has let go is the other one's
                 portion = self._least = min(portion, self._least)
-            self._budget.share(portion, self._leaving)
+            self._budget.set_portion(portion, self._leaving)
             if not self._leaving:
-                self._budget.let_go()
+                self._budget.close_excess_idle()
         else:
-            self._core.out_elsewhere({})
-            self._budget.share(None)
+            self._core.set_peer_attempts({})
+            self._budget.set_portion(None)
 
     async def _converse(self, link: Link, adopt: Callable[[int], None] | None) -> None:
         try:
@@ -327,7 +327,7 @@
             case "news":
                 result = decode_result(record.get("list"), ListKind.DELTA)
                 self._notices.heard(result)
-                self._core.resolved(result)
+                self._core.apply_resolver_result(result)
             case "connection":
                 if adopt is None:  # only a predecessor has any to pass on
                     os.close(descriptor)
@@ -342,7 +342,7 @@
                 ends = ResolverResult(ListKind.DELTA, tuple(target for _, target in told), version)
                 await link.send("news", list=encode_result(ends))
             self._agree()
-            out = {str(replica): count for replica, count in self._core.out().items()}
+            out = {str(replica): count for replica, count in self._core.attempts_in_flight().items()}
             used = sum(self._budget.used.values())
             if not await link.send("tell", used=used, leaving=self._leaving, out=out):
                 return
@@ -351,12 +351,12 @@
 
 
 def adopter(
-    listener: Listener, front: Front[Any], budget: Descriptors, nursery: trio.Nursery
+    listener: Listener, front: Front[Any], budget: DescriptorBudget, nursery: trio.Nursery
 ) -> Callable[[int], None]:
     """Takes over a client's connection that the predecessor has passed on."""
 
     def adopt(descriptor: int) -> None:
-        budget.adopt(Use.CLIENT)
-        listener.adopt(descriptor, nursery, front.handle_kept)
+        budget.count_inherited(Use.CLIENT)
+        listener.adopt(descriptor, nursery, front.handle_passed_connection)
 
     return adopt
--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 from grpc_peers import BOTH, SharedEngine
-from peers import Peer, among
+from peers import Peer, running_router
 
 from sorreldock.client import Request
 
@@ -100,7 +100,7 @@
 
 def router(engine: SharedEngine, **options: Any) -> AbstractAsyncContextManager[Any]:
     """Return a context of the real router in front of this server, on both protocols."""
-    return among(engine, operator=BOTH, **options)
+    return running_router(engine, operator=BOTH, **options)
 
 
 class Stub(Peer):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -32,7 +32,7 @@
 )
 from grpc_peers import SharedEngine
 from grpc_peers import Stream as GrpcStream
-from peers import Call, serve_well
+from peers import ReceivedRequest, answer_in_full
 
 import sorreldock.client
 from sorreldock.client import (
@@ -52,7 +52,7 @@
 SAFE = ClientSettings(safe_classes=["alt-text"])
 
 
-async def refuse(call: Call) -> None:
+async def refuse(call: ReceivedRequest) -> None:
     await call.answer(503, x_never_ran="1")
 
 
@@ -114,11 +114,11 @@
 
 @on_both
 async def test_an_answer_cut_off_after_its_first_event_raises_the_events_received() -> None:
-    async def cut_at_first_event(call: Call) -> None:
+    async def cut_at_first_event(call: ReceivedRequest) -> None:
         await call.start(b'data: {"n":1}\n\n')
         await call.wire.stream.aclose()
 
-    async def cut_after_first_event(call: Call) -> None:
+    async def cut_after_first_event(call: ReceivedRequest) -> None:
         await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
         await call.wire.stream.aclose()
 
@@ -136,22 +136,22 @@
 
 @on_both
 async def test_the_rest_of_a_broken_answer_is_requested_once_after_the_first_attempt_is_closed() -> None:
-    async def cut_after_first_event(call: Call) -> None:
+    async def cut_after_first_event(call: ReceivedRequest) -> None:
         await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
         await call.wire.stream.aclose()
 
     engine = SharedEngine()
-    engine.scripts = [cut_after_first_event, serve_well, cut_after_first_event, cut_after_first_event]
+    engine.scripts = [cut_after_first_event, answer_in_full, cut_after_first_event, cut_after_first_event]
     with hosted(router(engine, family_info={"resume": True})) as real:
         async with Client([real.address], ClientSettings(resume=True)) as client:
             async with client.stream(REQUEST, timeout_s=4.0) as answer:
                 events = [event async for event in answer]
             assert answer.resumed and (answer.attempts, answer.retries) == (2, 0) and len(events) == 4
-            assert b'"content":"a "' in engine.calls[1].body
+            assert b'"content":"a "' in engine.received_requests[1].body
             with pytest.raises(Broken) as broken:
                 await client.ask(REQUEST, timeout_s=4.0)
             assert len(broken.value.received) == 2 and broken.value.attempts == 2
-            assert counters(client, "resumes", "retries") == (2, 0) and engine.most_out == 1
+            assert counters(client, "resumes", "retries") == (2, 0) and engine.max_open_requests == 1
 
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
@@ -160,11 +160,11 @@
 async def test_leaving_a_call_cancels_it_at_the_server(protocol: str, waiting: bool) -> None:
     arrived, cancelled = threading.Event(), threading.Event()
 
-    async def hang(call: Call) -> None:
+    async def hang(call: ReceivedRequest) -> None:
         if not waiting:
             await call.start(b"data: 1\n\n")
         arrived.set()
-        await call.left()
+        await call.wait_closed()
         cancelled.set()
 
     async def hang_grpc(call: GrpcStream) -> None:
@@ -195,9 +195,9 @@
 
 @on_both
 async def test_closing_a_client_raises_client_closed_in_open_calls() -> None:
-    async def hang(call: Call) -> None:
+    async def hang(call: ReceivedRequest) -> None:
         await call.start(b"data: 1\n\n")
-        await call.left()
+        await call.wait_closed()
 
     engine = SharedEngine()
     engine.script = hang  # type: ignore[assignment]
@@ -460,7 +460,7 @@
             async with anyio.create_task_group() as group:
                 for _ in range(2):
                     group.start_soon(client.ask, REQUEST, 4.0)
-            Host.token.run_sync_soon(real.program.lifecycle.stop_asked.set)
+            Host.token.run_sync_soon(real.program.lifecycle.stop_requested.set)
             while not client.stats().connections_lost:
                 await anyio.sleep(0.01)
             for _ in range(3):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,15 @@
 import pytest
 import trio
 import trio.testing
-from peers import Call, Discovery, Engine, Router, Wire, among, story
+from peers import (
+    Discovery,
+    HttpConnection,
+    ReceivedRequest,
+    Router,
+    ScriptedServer,
+    running_router,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.interface import (
@@ -27,7 +35,7 @@
 from sorreldock.routing import core as routing_core
 from sorreldock.routing.mailbox import ENTRIES_AT_ONCE, DecisionMailbox
 from sorreldock.routing.pace import LONGEST_WAIT_S, DecisionPace, waits_too_long
-from sorreldock.routing.types import Report
+from sorreldock.routing.types import AttemptResult
 
 DECISION_S = 0.02
 
@@ -50,7 +58,7 @@
     return told
 
 
-async def burst(router: Router, count: int, time_left: bytes) -> list[Wire]:
+async def burst(router: Router, count: int, time_left: bytes) -> list[HttpConnection]:
     """Send so many requests at one moment: all are there before the first of them is decided on."""
     wires = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
@@ -60,12 +68,12 @@
     return wires
 
 
-@story
+@trio_test
 async def test_requests_beyond_what_can_be_decided_are_refused_at_once_and_all_are_answered_in_time() -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     took: list[float] = []
     statuses: list[int] = []
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         told = slow_decisions(router.program.core)
 
         wires = await burst(router, 60, b"1000m")
@@ -84,21 +92,21 @@
     assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in told)
 
 
-@story
+@trio_test
 async def test_a_drain_notice_and_a_client_that_leaves_are_heard_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, time_s: False)
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         core = router.program.core
         told = slow_decisions(core)
         wires = await burst(router, 30, b"5000m")
-        while len(core.open) < 30:
+        while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         last = core._mailbox._requests[-1].request
         await wires.pop(int(last[1:].partition(".")[0])).stream.aclose()
         for wire in wires:
@@ -110,35 +118,35 @@
     assert last not in {event.request for event in told if isinstance(event, RequestArrived)}
 
 
-@story
+@trio_test
 async def test_an_attempt_decided_in_the_batch_in_which_its_client_left_counts_as_ended() -> None:
     release = trio.Event()
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await release.wait()
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
-    async with among(first, second) as router:
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
+    async with running_router(first, second) as router:
         core = router.program.core
         wire = await router.start_post()
-        while not any(subchannel.out for subchannel in core.subchannels.values()):
+        while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
             await trio.sleep(0.001)
-        [subchannel] = [s for s in core.subchannels.values() if s.out]
+        [subchannel] = [s for s in core.subchannels.values() if s.in_flight]
         ended = subchannel._on_ended
 
-        def ended_and_left(attempt: Any, report: Report, latency_s: float) -> None:
+        def ended_and_left(attempt: Any, report: AttemptResult, latency_s: float) -> None:
             ended(attempt, report, latency_s)
             core.client_gone(attempt.rpc)
 
         subchannel._on_ended = ended_and_left
         release.set()
-        while core.open:
+        while core.open_rpcs:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
-        assert core._gateway.everywhere.busy == 0 and not core._gateway.requests
+        assert core._gateway.all_zones.open_attempts == 0 and not core._gateway.requests
         await wire.stream.aclose()
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
 def test_the_mailbox_puts_requests_behind_what_is_owed_and_cuts_long_lists() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,14 +17,23 @@
 import h11
 import pytest
 import trio
-from peers import FIELDS, Discovery, Engine, Wire, answer, request, serve_until, story
+from peers import (
+    FIELDS,
+    Discovery,
+    HttpConnection,
+    ScriptedServer,
+    read_answer,
+    request,
+    stream_until,
+    trio_test,
+)
 from test_program import ROOT, until, written
 
 from sorreldock.interface import ListKind, ReplicaState
 from sorreldock.program import handover
 from sorreldock.program.takeover import NAME, Link, Takeover
 from sorreldock.routing.types import ResolverResult, Target
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 
 POST = "/v1/chat/completions"
 
@@ -36,7 +45,7 @@
     address: str
     environment: dict[str, str]
     held: socket.socket
-    engine: Engine
+    engine: ScriptedServer
     processes: list[Any] = field(default_factory=list)
 
     async def start(self, ready: bytes = b" serving") -> tuple[Any, bytes]:
@@ -50,14 +59,14 @@
         self.processes.append(process)
         return process, await until(process, b"", ready)
 
-    async def connect(self) -> Wire:
+    async def connect(self) -> HttpConnection:
         host, port = self.address.rsplit(":", 1)
-        return Wire(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
+        return HttpConnection(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
 
 
 @asynccontextmanager
 async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     with socket.create_server(("127.0.0.1", 0)) as held:
         address = f"127.0.0.1:{held.getsockname()[1]}"
@@ -84,17 +93,17 @@
     return [request("POST", POST, b"", {**FIELDS, "x_trace_id": name}), h11.EndOfMessage()]
 
 
-async def served(wire: Wire, name: str) -> None:
+async def served(wire: HttpConnection, name: str) -> None:
     await wire.send(*ask(name))
-    assert (await answer(wire)).whole
+    assert (await read_answer(wire)).whole
 
 
-@story
+@trio_test
 async def test_no_connection_is_refused_reset_or_left_unread_when_one_process_follows_another(
     tmp_path: Path,
 ) -> None:
     finish = trio.Event()
-    slowly = serve_until(finish)
+    slowly = stream_until(finish)
     async with site(tmp_path) as here:
         first, _ = await here.start()
         idle, busy, half, unread = [await here.connect() for _ in range(4)]
@@ -115,7 +124,7 @@
         half.parser = h11.Connection(h11.CLIENT)
         await half.stream.send_all((half.parser.send(head) or b"")[40:])
         await half.send(h11.EndOfMessage())
-        got = await answer(half)
+        got = await read_answer(half)
         assert got.whole and "connection" not in got.headers
         await served(unread, "unread")
         assert await first.wait() == 0
@@ -130,7 +139,7 @@
 
 
 @pytest.mark.parametrize("kind", ["stale file", "stuck", "another version", "noise"])
-@story
+@trio_test
 async def test_a_predecessor_that_is_no_use_leaves_the_new_process_working_alone(
     tmp_path: Path, kind: str
 ) -> None:
@@ -191,11 +200,11 @@
         leaves = handover.portion(usable, held, True, 150, False)
         assert leaves + handover.portion(usable, 0, False, held, True) <= usable
     assert handover.portion(usable, 0, False, 0, True) == usable - handover.LEAVERS_PART
-    budget = Descriptors(364)
-    assert all(budget.take(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
-    budget.share(handover.portion(usable, 80, True, 0, False), leaving=True)
-    assert not budget.take(Use.CLIENT)  # nobody new, but attempts of what it has taken
-    assert sum(budget.take(Use.ENGINE) for _ in range(100)) == handover.LEAVERS_PART
+    budget = DescriptorBudget(364)
+    assert all(budget.acquire(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
+    budget.set_portion(handover.portion(usable, 80, True, 0, False), leaving=True)
+    assert not budget.acquire(Use.CLIENT)  # nobody new, but attempts of what it has taken
+    assert sum(budget.acquire(Use.ENGINE) for _ in range(100)) == handover.LEAVERS_PART
 
 
 def target(state: ReplicaState, started_at: float = 0.0, uid: str = "e1") -> Target:
@@ -209,21 +218,23 @@
     uids: set[str] = field(default_factory=set)
     counts: dict[int, int] = field(default_factory=dict)
 
-    def resolved(self, result: ResolverResult) -> None:
+    def apply_resolver_result(self, result: ResolverResult) -> None:
         self.uids |= {t.uid for t in result.targets if t.state is ReplicaState.DRAINING}
 
-    def out(self) -> dict[int, int]:
+    def attempts_in_flight(self) -> dict[int, int]:
         return {7: 2}
 
-    def out_elsewhere(self, counts: dict[int, int]) -> None:
+    def set_peer_attempts(self, counts: dict[int, int]) -> None:
         self.counts = counts
 
 
-@story
+@trio_test
 async def test_each_notice_reaches_every_other_process_and_what_is_out_counts() -> None:
     """One that follows may have a predecessor that still ends and a successor that has just begun."""
     cores = [Told() for _ in range(3)]
-    made = [Takeover("", c, None, Descriptors(364), lambda *a, **k: None, 1, lambda o: None) for c in cores]  # type: ignore[arg-type]
+    made = [
+        Takeover("", c, None, DescriptorBudget(364), lambda *a, **k: None, 1, lambda o: None) for c in cores
+    ]  # type: ignore[arg-type]
     async with trio.open_nursery() as nursery:
         for a, b in ((0, 1), (1, 2)):
             for one, end in zip((a, b), trio.socket.socketpair(), strict=True):
