--- a/sorreldock/transport/budget.py
+++ b/sorreldock/transport/budget.py
@@ -1,4 +1,4 @@
-"""The descriptor budget: how many sockets clients and subchannels may hold together."""
+"""Budgets for scarce resources: the sockets of clients and subchannels, and the bytes of requests."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 
 class Use(Enum):
-    """Who holds a descriptor."""
+    """What a descriptor is used for: a client connection or a connection to a server."""
 
     CLIENT = "client"
     ENGINE = "engine"
 
 
 class DescriptorBudget:
-    """Counts the sockets in use. Guards the descriptor limit: past it `accept` and `connect` would fail
-    and the platform may count the program as crashed.
+    """Counts the sockets in use and keeps them below the descriptor limit.
+
+    Beyond the limit `accept` and `connect` would fail, and the platform may count the program as crashed.
     """
 
-    RESERVED = 64  # interpreter, log, listeners, discovery, trio's own; of a small limit a sixth
+    RESERVED = 64  # interpreter, log, listeners, discovery, trio itself; at most a sixth of a small limit
 
     def __init__(self, limit: int) -> None:
         self._extra_reserved = 0
@@ -31,26 +32,27 @@
         self._waiting = trio.lowlevel.ParkingLot()
 
     def reserve(self, count: int) -> None:
-        """For somebody who does not ask here, and has them whatever clients hold."""
+        """Exclude descriptors from the budget for a part that doesn't acquire its own from here."""
         self._extra_reserved = count
         self.resize(self.limit)
 
     def resize(self, limit: int) -> None:
-        """What is in use beyond a smaller limit stays so until it is given back."""
+        """Set the descriptor limit; sockets in use beyond a smaller limit stay open until released."""
         self.limit = limit
         usable = self.usable_in_total(0)
         if self._portion is not None:
             usable = min(usable, self._portion)
         self.max_used = {Use.CLIENT: usable // 2, Use.ENGINE: usable - usable // 2}
 
-    def usable_in_total(self, others: int) -> int:
-        """What this process and so many others have for sockets in all; each has the same set aside."""
-        kept = min(self.RESERVED, self.limit // 6) + self._extra_reserved
-        return self.limit - (1 + others) * kept
+    def usable_in_total(self, other_processes: int) -> int:
+        """Return the sockets usable by this and the other processes together; each has the same reserve."""
+        reserved = min(self.RESERVED, self.limit // 6) + self._extra_reserved
+        return self.limit - (1 + other_processes) * reserved
 
     def set_portion(self, portion: int | None, leaving: bool = False) -> None:
-        """Use no more than this, since another process of this router holds the rest; None: there is none.
-        A process that leaves takes no more clients, and what is left is for the attempts of those it has.
+        """Limit this process to a portion while a peer process uses the rest; None lifts the limit.
+
+        A leaving process accepts no more clients; the rest of its portion is for attempts of those it has.
         """
         if leaving and portion is not None:
             clients = self.used[Use.CLIENT]
@@ -60,28 +62,31 @@
             self.resize(self.limit)
 
     def close_excess_idle(self) -> None:
-        """Close what is idle beyond a smaller portion, for the other process."""
+        """Close idle connections beyond a reduced portion, to free descriptors for the peer process."""
         for use, eviction_callbacks in self.eviction_callbacks.items():
             while self.used[use] > self.max_used[use] and any(evict() for evict in eviction_callbacks):
                 pass
 
     def count_inherited(self, use: Use) -> None:
-        """Count one that came open from another process, whose count it has left."""
+        """Count a socket received from another process, which no longer counts it."""
         self.used[use] += 1
 
     def acquire(self, use: Use) -> bool:
-        """Claim one; when all are in use, somebody's idle connection is closed for it if there is one."""
+        """Acquire a descriptor, if need be by closing an idle connection; return False if none is free."""
         if self.used[use] >= self.max_used[use] and not self._evict(use):
             return False
         self.used[use] += 1
         return True
 
     def _evict(self, use: Use) -> bool:
-        """In turn, lest the first of a thousand engines loses every connection to the others."""
+        """Close one idle connection.
+
+        The callbacks take turns, so that the first of a thousand servers doesn't lose all of its connections.
+        """
         eviction_callbacks = self.eviction_callbacks[use]
-        for place, evict in enumerate(eviction_callbacks):
+        for index, evict in enumerate(eviction_callbacks):
             if evict():
-                eviction_callbacks.append(eviction_callbacks.pop(place))
+                eviction_callbacks.append(eviction_callbacks.pop(index))
                 return True
         return False
 
@@ -89,15 +94,16 @@
         self.used[use] -= 1
         self._waiting.unpark_all()
 
-    async def wait_released(self, within_s: float) -> None:
-        """Wait until one has been given back."""
-        with trio.move_on_after(within_s):
+    async def wait_released(self, timeout_s: float) -> None:
+        """Wait until a descriptor has been released, or for `timeout_s`."""
+        with trio.move_on_after(timeout_s):
             await self._waiting.park()
 
 
 class PayloadBudget:
-    """Counts the bytes of requests held in memory. Guards the memory limit: past it a crowd of large requests
-    is refused, not held.
+    """Counts the bytes of requests held in memory and keeps them below the memory limit.
+
+    Beyond it, requests are refused instead of buffered when many large ones arrive together.
     """
 
     def __init__(self, max_used: int) -> None:
@@ -105,6 +111,7 @@
         self.used = 0
 
     def acquire(self, count: int) -> bool:
+        """Acquire memory for `count` bytes; return False if it would exceed the budget."""
         if self.used + count > self.max_used:
             return False
         self.used += count
--- a/sorreldock/transport/ring.py
+++ b/sorreldock/transport/ring.py
@@ -1,16 +1,16 @@
-"""A byte ring of fixed size: what one direction of a connection holds between socket and parser."""
+"""A ring buffer of fixed size for one direction of a connection, between socket and parser."""
 
 from __future__ import annotations
 
 
 class RingBuffer:
-    """A ring buffer that holds no memory while it is empty."""
+    """A ring buffer that can free its memory while it is empty."""
 
     __slots__ = ("_capacity", "_size", "_start", "_view")
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._view: memoryview | None = None  # of its bytes, while there is a use for them
+        self._view: memoryview | None = None  # None while no memory is allocated
         self._start = 0
         self._size = 0
 
@@ -21,14 +21,16 @@
     def free_bytes(self) -> int:
         return self._capacity - self._size
 
-    def _bytes(self) -> memoryview:
+    def _buffer(self) -> memoryview:
         if self._view is None:
             self._view = memoryview(bytearray(self._capacity))
         return self._view
 
     def free_memory(self) -> None:
-        """Give the memory back while nothing is held. Guards the memory limit: most connections of a long day
-        are idle, and two rings of each would be more than all that is under way.
+        """Free the memory if the buffer is empty.
+
+        Keeps the program below its memory limit: on a long day most connections are idle, and two buffers for
+        each would take more memory than all requests in progress.
         """
         if not self._size:
             self._view = None
@@ -37,33 +39,35 @@
         """Return the contiguous free bytes after the data, to be written before `commit_written`."""
         end = self._start + self._size
         if end < self._capacity:
-            return self._bytes()[end:]
-        return self._bytes()[end - self._capacity : self._start]
+            return self._buffer()[end:]
+        return self._buffer()[end - self._capacity : self._start]
 
     def commit_written(self, count: int) -> None:
+        """Append the first `count` bytes of `writable_span` to the data."""
         self._size += count
 
     def readable_span(self) -> memoryview:
         """Return the oldest contiguous bytes, to be processed and then dropped by `consume`."""
-        return self._bytes()[self._start : min(self._start + self._size, self._capacity)]
+        return self._buffer()[self._start : min(self._start + self._size, self._capacity)]
 
     def consume(self, count: int) -> None:
+        """Drop the oldest `count` bytes."""
         self._size -= count
         self._start = 0 if self._size == 0 else (self._start + count) % self._capacity
 
     def write(self, data: memoryview) -> int:
-        """Copy in as much as there is room for; tells how much that was."""
-        done = 0
-        while done < len(data) and self.free_bytes:
+        """Copy in as much data as fits and return its length."""
+        copied = 0
+        while copied < len(data) and self.free_bytes:
             span = self.writable_span()
-            count = min(len(span), len(data) - done)
-            span[:count] = data[done : done + count]
+            count = min(len(span), len(data) - copied)
+            span[:count] = data[copied : copied + count]
             self.commit_written(count)
-            done += count
-        return done
+            copied += count
+        return copied
 
     def read_all(self) -> bytes:
-        """All that is held, in order."""
+        """Return all data in order, and leave the buffer empty."""
         parts = []
         while self._size:
             span = self.readable_span()
