--- a/sorreldock/transport/__init__.py
+++ b/sorreldock/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: listeners, dialling, ring-buffered connections, pools and the descriptor budget."""
+"""Sockets: listeners, dialling, buffered connections, connection pools, budgets and admission."""
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection with one ring buffer a direction."""
+"""TCP connections with a ring buffer for each direction, and how to open them."""
 
 from __future__ import annotations
 
@@ -13,30 +13,33 @@
 from .system import MACHINE, System
 
 RING_BYTES = 16384
-# States of the kernel's tcp_info (include/net/tcp_states.h) in which the peer has ended its side.
+# States of the kernel's tcp_info (include/net/tcp_states.h) in which the peer has closed its side.
 TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK, TCP_CLOSING = 7, 8, 9, 11
 ENDED_BY_PEER = frozenset({TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK, TCP_CLOSING})
-DISCARDED = bytearray(65536)  # where all connections write what nobody will read
+DISCARD_BUFFER = bytearray(65536)  # shared by all connections, for received data that is discarded
 
 
 class ConnectionLost(Exception):
-    """The peer has reset the connection, or the machine behind it is gone."""
+    """The connection was reset by the peer, or failed otherwise."""
 
 
 class DialFailed(Exception):
-    """No connection came up: refused, timed out, or no descriptor to spare."""
+    """A connection could not be opened: refused, timed out, or no descriptor available."""
 
 
 class NoListener(DialFailed):
-    """The machine is there, and no process listens at the address."""
+    """The peer's machine is reachable, but no process listens at the address."""
 
 
 class LocalShortage(DialFailed):
-    """This machine had no descriptor, port or memory for a connection: it says nothing of the peer."""
+    """This machine had no descriptor, port or memory for a connection; says nothing about the peer."""
 
 
 class Connection:
-    """Bytes in both directions. Reading and writing may go on in two tasks; each alone in one at a time."""
+    """A byte stream in both directions.
+
+    One task may read while another one writes, but no two tasks may read, or write, at the same time.
+    """
 
     __slots__ = (
         "_closed",
@@ -64,14 +67,17 @@
         self._no_delay = sock.family == socket.AF_UNIX or set_no_delay(sock)
 
     async def fill(self) -> int:
-        """Read into the ring and leave it there; 0 at the end. Waits for ever while the ring is full."""
+        """Read into the ring buffer and return the count of bytes, 0 at the peer's end of stream.
+
+        Wait for ever while the buffer is full.
+        """
         if not self._incoming.free_bytes:
             await trio.sleep_forever()
         try:
             if not self._incoming and not self._sock.is_readable():
                 self._incoming.free_memory()
                 await self._wait_readable(self._sock)
-            self._reading = True  # bytes leave the kernel a pass before they are counted below
+            self._reading = True  # bytes leave the kernel a scheduler pass before they are counted below
             count: int = await retry_transient(lambda: self._sock.recv_into(self._incoming.writable_span()))
         except (OSError, trio.ClosedResourceError) as error:
             raise ConnectionLost(str(error)) from None
@@ -89,60 +95,62 @@
         return len(self._incoming)
 
     async def receive(self) -> bytes:
-        """What has arrived, for the parser; empty at the peer's end."""
+        """Return the bytes that have arrived; empty at the peer's end of stream."""
         if not self._incoming:
             await self.fill()
         return self._incoming.read_all()
 
     def release_buffers(self) -> None:
-        """Nothing is under way."""
+        """Free the memory for received data while no request is in progress."""
         self._incoming.free_memory()
 
     async def send(self, *parts: bytes) -> None:
-        """Write all parts; they meet in the ring, so that a short head and its body leave together."""
+        """Write all parts, gathered in the ring buffer so that a short head leaves together with its body."""
         try:
             for part in parts:
                 view = memoryview(part)
                 while view:
                     view = view[self._outgoing.write(view) :]
                     if not self._outgoing.free_bytes:
-                        await self._push()
+                        await self._write_some()
             while self._outgoing:
-                await self._push()
+                await self._write_some()
             self._outgoing.free_memory()
-        except (OSError, trio.ClosedResourceError) as error:  # the latter where another task has closed it
+        except (OSError, trio.ClosedResourceError) as error:  # the latter if another task closed it
             raise ConnectionLost(str(error)) from None
 
-    async def _push(self) -> None:
+    async def _write_some(self) -> None:
         if not self._no_delay:
             self._no_delay = set_no_delay(self._sock)
         sent = await retry_transient(lambda: self._sock.send(self._outgoing.readable_span()))
         self._outgoing.consume(sent)
 
-    async def lingering_close(self, within_s: float, quiet_s: float) -> None:
-        """End sending, then read on and discard until the peer ends too. Guards the last answer: a close
-        while bytes still come makes the system send a reset, which may overtake what is not read yet.
+    async def lingering_close(self, timeout_s: float, quiet_s: float) -> None:
+        """Shut down sending, then read and discard until the peer closes or sends nothing for `quiet_s`.
+
+        Protects the last answer: if the socket is closed while bytes still arrive, the system sends a reset,
+        on which the peer may discard what it has not read yet.
         """
         try:
-            with trio.move_on_after(within_s):
+            with trio.move_on_after(timeout_s):
                 await retry_transient(self._shut_down)
                 while True:
                     with trio.move_on_after(quiet_s) as quiet:
-                        if not await retry_transient(lambda: self._sock.recv_into(DISCARDED)):
+                        if not await retry_transient(lambda: self._sock.recv_into(DISCARD_BUFFER)):
                             return
                     if quiet.cancelled_caught:
                         return
         except (OSError, trio.ClosedResourceError):
-            pass  # it has gone, or had to make room
+            pass  # the peer has closed, or the connection was evicted
 
     async def _shut_down(self) -> None:
         self._sock.shutdown(socket.SHUT_WR)
 
     def has_peer_closed(self) -> bool:
-        """Whether the peer has closed or reset the connection; a look without waiting.
+        """Return whether the peer has closed or reset the connection, without waiting.
 
-        The kernel tells of an end behind any amount of unread bytes. Elsewhere what has come is read into the
-        ring, and an end behind more than that shows later.
+        The kernel reports a close behind any amount of unread bytes. On sockets without TCP_INFO, received
+        bytes are read into the ring buffer; a close behind more than fits is noticed later.
         """
         if self.closed_by_peer:
             return True
@@ -161,17 +169,17 @@
 
     @property
     def closed_by_peer(self) -> bool:
-        """What the kernel knows of the peer's end, without reading."""
+        """Whether the kernel knows that the peer has closed the connection, without reading."""
         return self._closed or closed_by_peer(self._sock)
 
     @property
     def readable(self) -> bool:
-        """Whether something has arrived, be it the peer's end."""
+        """Whether bytes or the peer's end of stream have arrived."""
         return not self._closed and (self._reading or bool(self._incoming) or self._sock.is_readable())
 
     @property
     def stale(self) -> bool:
-        """Whether an idle connection has been closed by the peer, or holds bytes that nobody asked for."""
+        """Whether an idle connection was closed by the peer or has received unexpected bytes."""
         return self._closed or self.readable
 
     def close(self) -> None:
@@ -182,17 +190,17 @@
 
 
 def closed_by_peer(sock: Any) -> bool:
-    """Whether the kernel has received the peer's FIN or RST; False where it can't be asked."""
+    """Return whether the kernel has received the peer's FIN or RST; False if that can't be queried."""
     if not isinstance(sock, trio.socket.SocketType) or sock.family == socket.AF_UNIX:
         return False
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in ENDED_BY_PEER
     except OSError:
-        return False  # a failure to look is no end: whoever reads the connection will meet it
+        return False  # a failed query doesn't mean closed; the next read will report a close
 
 
 def set_no_delay(sock: Any) -> bool:
-    """Let small writes leave at once; False if it failed, which is no reason to end a connection."""
+    """Turn off Nagle's algorithm; return False on failure, which is no reason to close the connection."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
@@ -200,20 +208,20 @@
     return True
 
 
-def read_now(sock: Any, into: memoryview) -> int:
-    """What a readable socket has, at once: trio's own reading lets others run before and after it."""
-    if not isinstance(sock, trio.socket.SocketType):  # one of another system's
-        count: int = sock.read_now(into)
+def read_now(sock: Any, buffer: memoryview) -> int:
+    """Read from a readable socket without a checkpoint; trio's own recv_into lets other tasks run."""
+    if not isinstance(sock, trio.socket.SocketType):  # a simulated socket
+        count: int = sock.read_now(buffer)
         return count
-    held = socket.socket(sock.family, socket.SOCK_STREAM, 0, fileno=sock.fileno())
+    stdlib_socket = socket.socket(sock.family, socket.SOCK_STREAM, 0, fileno=sock.fileno())
     try:
-        return held.recv_into(into)
+        return stdlib_socket.recv_into(buffer)
     finally:
-        held.detach()
+        stdlib_socket.detach()
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """The host and port of `10.0.0.4:3000` or `[::1]:3000`; a ValueError says what is wrong."""
+    """Return the host and port of `10.0.0.4:3000` or `[::1]:3000`; raise ValueError if it is malformed."""
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{address!r} is not host:port")
@@ -224,28 +232,28 @@
 
 
 def dialler(system: System) -> Dial:
-    """`dial`, with this system's sockets."""
+    """Return `dial` bound to the sockets of this system."""
     return lambda address, timeout_s, on_close: dial(address, timeout_s, on_close, system)
 
 
 async def dial(
     address: str, timeout_s: float, on_close: Callable[[], None], system: System = MACHINE
 ) -> Connection:
-    """Open a connection within so many seconds; calls `on_close` itself if none comes up.
+    """Open a connection within `timeout_s`; if that fails, call `on_close` and raise.
 
-    What fails for want of something on this machine is tried again until then (LocalShortage); a peer that
-    refuses is NoListener, and all else DialFailed.
+    Failures for lack of a local resource are retried until the timeout, then raise LocalShortage. A refused
+    connection raises NoListener, anything else DialFailed.
     """
     try:
-        where = split_address(address)
+        host_and_port = split_address(address)
     except ValueError as error:
         on_close()
         raise DialFailed(str(error)) from None
-    shortages: list[OSError] = []  # of the latest try
+    shortages: list[OSError] = []  # of the latest attempt to connect
 
     async def connect() -> Any:
         shortages.clear()
-        return await _connected(where, system)
+        return await _connect_socket(host_and_port, system)
 
     def is_shortage(error: OSError) -> bool:
         shortages.append(error)
@@ -259,18 +267,18 @@
         raise LocalShortage(str(shortages[0])) if shortages else DialFailed("timed out") from None
     except OSError as error:
         on_close()
-        kind = NoListener if isinstance(error, ConnectionRefusedError) else DialFailed
-        raise kind(str(error)) from None
+        failure = NoListener if isinstance(error, ConnectionRefusedError) else DialFailed
+        raise failure(str(error)) from None
     except trio.Cancelled:
         on_close()
         raise
     return Connection(sock, on_close, system.wait_readable)
 
 
-async def _connected(where: tuple[str, int], system: System) -> Any:
-    sock = system.socket(socket.AF_INET6 if ":" in where[0] else socket.AF_INET)
+async def _connect_socket(host_and_port: tuple[str, int], system: System) -> Any:
+    sock = system.socket(socket.AF_INET6 if ":" in host_and_port[0] else socket.AF_INET)
     try:
-        await sock.connect(where)
+        await sock.connect(host_and_port)
     except BaseException:
         sock.close()
         raise
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -1,4 +1,4 @@
-"""A subchannel's pool of connections that have a parser each and carry one call at a time."""
+"""The connection pool of a subchannel: each connection has a parser and carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class PooledConnection(Protocol):
-    """A connection with its parser."""
+    """A connection with its parser, as the pool uses it."""
 
     @property
     def connection(self) -> Connection: ...
 
     async def usable(self) -> bool:
-        """Whether an idle one still carries a call."""
+        """Return whether an idle connection can carry another attempt."""
 
     def renew(self) -> bool:
-        """Make ready for the next call, after one that went to its end; False if there can be none."""
+        """Prepare for the next attempt after a complete one; return False if that isn't possible."""
 
 
-L = TypeVar("L", bound=PooledConnection)
+PooledT = TypeVar("PooledT", bound=PooledConnection)
 
 
-class ConnectionPool(Generic[L]):
-    """The idle connections to one engine."""
+class ConnectionPool(Generic[PooledT]):
+    """The idle connections to one server."""
 
-    # An engine closes a connection that stood idle for `conn_idle_s`, and what is written to it from then on
-    # ends in a reset. Guards against that race: nothing idle for more than this share of it is used again.
+    # A server closes a connection that was idle for `conn_idle_s`, and answers later writes with a reset. To
+    # avoid that race, no connection is reused that was idle for more than this share of `conn_idle_s`.
     MAX_IDLE_SHARE = 0.75
 
     def __init__(
         self,
         address: str,
-        wrap: Callable[[Connection], L],
+        wrap: Callable[[Connection], PooledT],
         budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
@@ -52,49 +52,52 @@
         self._connect_timeout_s = connect_timeout_s
         self._reusable_s = conn_idle_s * self.MAX_IDLE_SHARE
         self._max_idle = max_idle
-        self._min_idle_s = min_idle_s  # how long a connection stays unused after a call
-        self._idle: list[tuple[float, L]] = []  # the last one put back is the first one taken
+        self._min_idle_s = min_idle_s  # time after an attempt before a connection is reused
+        self._idle: list[tuple[float, PooledT]] = []  # idle since, connection; used as a stack
         budget.eviction_callbacks[Use.ENGINE].append(self.evict)
 
-    async def get(self) -> L:
-        """An idle line, else a new one; DialFailed when none comes up, LocalShortage if through us."""
-        while (idle := self._take_rested()) is not None:
-            since, line = idle
-            if trio.current_time() - since < self._reusable_s and await line.usable():
-                return line
-            line.connection.close()
+    async def get(self) -> PooledT:
+        """Return an idle connection or open a new one.
+
+        Raise LocalShortage if this machine lacks a resource for it, DialFailed if it fails otherwise.
+        """
+        while (idle := self._pop_idle()) is not None:
+            since, pooled = idle
+            if trio.current_time() - since < self._reusable_s and await pooled.usable():
+                return pooled
+            pooled.connection.close()
         if not self._budget.acquire(Use.ENGINE):
-            raise LocalShortage("no descriptor to spare")
+            raise LocalShortage("no descriptor available")
         on_close = lambda: self._budget.release(Use.ENGINE)  # noqa: E731
         return self._wrap(await self._dial(self.address, self._connect_timeout_s, on_close))
 
-    def _take_rested(self) -> tuple[float, L] | None:
-        """The idle line put back last among those that have rested."""
-        rested_since = trio.current_time() - self._min_idle_s
-        for place in range(len(self._idle) - 1, -1, -1):
-            if self._idle[place][0] <= rested_since:
-                return self._idle.pop(place)
+    def _pop_idle(self) -> tuple[float, PooledT] | None:
+        """Remove and return the connection released last among those idle for the minimum time."""
+        latest_since = trio.current_time() - self._min_idle_s
+        for index in range(len(self._idle) - 1, -1, -1):
+            if self._idle[index][0] <= latest_since:
+                return self._idle.pop(index)
         return None
 
-    def release(self, line: L, whole: bool) -> None:
-        """Keep the connection if its last exchange went to its end, else close it."""
-        if whole and line.renew():
-            line.connection.release_buffers()
-            self._idle.append((trio.current_time(), line))
+    def release(self, pooled: PooledT, is_complete: bool) -> None:
+        """Keep the connection for reuse if its last exchange is complete, else close it."""
+        if is_complete and pooled.renew():
+            pooled.connection.release_buffers()
+            self._idle.append((trio.current_time(), pooled))
             if len(self._idle) > self._max_idle:
                 self.evict()
         else:
-            line.connection.close()
+            pooled.connection.close()
 
     def evict(self) -> bool:
-        """Close the connection that has been idle longest, for somebody else's use."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         if not self._idle:
             return False
         self._idle.pop(0)[1].connection.close()
         return True
 
     def trim(self) -> None:
-        """Close what has been idle too long to be used again."""
+        """Close connections that have been idle too long to be reused."""
         now = trio.current_time()
         while self._idle and now - self._idle[0][0] >= self._reusable_s:
             self.evict()
@@ -104,7 +107,7 @@
             pass
 
     def discard(self) -> None:
-        """The subchannel is gone: close what is idle and leave the budget's list."""
+        """Close idle connections and unregister from the budget, when the subchannel is removed."""
         self.close_idle()
         if self.evict in self._budget.eviction_callbacks[Use.ENGINE]:
             self._budget.eviction_callbacks[Use.ENGINE].remove(self.evict)
--- a/sorreldock/transport/system.py
+++ b/sorreldock/transport/system.py
@@ -1,9 +1,9 @@
-"""What a program stands on: its sockets, its clocks, its signals and the descriptor of its log.
+"""The operating system's services used by the program: sockets, clocks, signals and log output.
 
-`program` holds one `System` and hands down what each part needs of it; nothing else of the router knows which
-one it is. `MACHINE` is the real one. Another (the lab's world) lets the same program run on a virtual clock
-and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the whole run; the one
-source of randomness is the configuration's seed.
+`program` holds one `System` and passes on what each part needs; no other part of the router depends on which
+one it is. `MACHINE` is the real one. The lab has another one, which runs the same program on a virtual clock
+and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the whole run; the
+only source of randomness is the configuration's seed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Socket(Protocol):
-    """A TCP socket, as `trio.socket.SocketType` is one."""
+    """A TCP socket with the used part of the interface of `trio.socket.SocketType`."""
 
     @property
     def family(self) -> int: ...
@@ -52,37 +52,37 @@
 
 
 class System(Protocol):
-    """What the program needs of the system below."""
+    """The interface between the program and the operating system or its simulation."""
 
     @property
     def clock(self) -> trio.abc.Clock | None:
-        """For `trio.run`; None: trio's own."""
+        """The clock for `trio.run`; None for trio's own."""
 
     @property
     def pid(self) -> int: ...
 
     @property
     def wait_readable(self) -> Callable[[Any], Awaitable[None]]:
-        """Waits until a socket of this system has something to read, or to accept."""
+        """A function that waits until a socket has bytes to read or a connection to accept."""
 
     def socket(self, family: int) -> Any:
-        """A new `Socket`; OSError when there can be none."""
+        """Return a new `Socket`; raise OSError if none can be created."""
 
     def inherited(self, descriptor: int) -> Any:
-        """The `Socket` that a descriptor held by the platform is; OSError when it is none."""
+        """Return the `Socket` of an inherited descriptor; raise OSError if it isn't a socket."""
 
     def wall(self) -> float:
-        """Unix time in seconds; it may step."""
+        """Return the Unix time in seconds; it may jump when the clock is set."""
 
     def signals(self, *numbers: int) -> AbstractContextManager[AsyncIterator[int]]:
-        """The signals that come while the block is open."""
+        """Iterate over the signals that arrive while the context is open."""
 
     async def write(self, descriptor: int, data: bytes) -> None:
-        """Write a log's lines, without holding up anybody else; errors are passed over."""
+        """Write log lines without blocking other tasks; ignore errors."""
 
 
 class Machine:
-    """The real one."""
+    """The services of the real operating system."""
 
     clock: trio.abc.Clock | None = None
 
@@ -104,14 +104,14 @@
         return trio.open_signal_receiver(*numbers)
 
     async def write(self, descriptor: int, data: bytes) -> None:
-        # In a thread: whoever reads our standard error may be slow, and RPCs must not wait for it.
+        # In a thread, since the reader of standard error may be slow and RPCs must not wait for it.
         await trio.to_thread.run_sync(_write, descriptor, data, abandon_on_cancel=True)
 
 
 def is_listening(descriptor: int) -> bool:
-    """Whether an inherited descriptor is a listening socket; OSError when it is no socket of ours at all."""
-    with socket.socket(fileno=os.dup(descriptor)) as held:
-        return bool(held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
+    """Return whether an inherited descriptor is a listening socket; raise OSError if it isn't a socket."""
+    with socket.socket(fileno=os.dup(descriptor)) as duplicate:
+        return bool(duplicate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
 
 
 def _write(descriptor: int, data: bytes) -> None:
@@ -119,7 +119,7 @@
         while data:
             data = data[os.write(descriptor, data) :]
     except OSError:
-        pass  # nobody reads it any longer
+        pass  # the reader has closed the descriptor
 
 
 MACHINE = Machine()
