--- a/sorreldock/kserve/__init__.py
+++ b/sorreldock/kserve/__init__.py
@@ -1,1 +1,1 @@
-"""KServe v2 and gRPC on the wire, without I/O: what the router, the client library and the lab share."""
+"""KServe v2 and gRPC wire formats, without I/O, shared by the router, the client library and the lab."""
--- a/sorreldock/kserve/framing.py
+++ b/sorreldock/kserve/framing.py
@@ -1,4 +1,4 @@
-"""gRPC on HTTP/2, without I/O: statuses, time-outs, framing, and GOAWAY frames (gRPC's PROTOCOL-HTTP2)."""
+"""gRPC on HTTP/2 (PROTOCOL-HTTP2), without I/O: statuses, timeouts, message framing and GOAWAY frames."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from urllib.parse import quote, unquote
 
 SERVICE = "inference.GRPCInferenceService"
-MAX_ANSWER_BYTES = 1024 * 1024  # of one message of an answer
+MAX_ANSWER_BYTES = 1024 * 1024  # for each message of an answer
 MAX_HEADER_LIST_BYTES = 16 * 1024
-TIMEOUT = re.compile(r"(\d{1,8})([HMSmun])")
-PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
+TIMEOUT_PATTERN = re.compile(r"(\d{1,8})([HMSmun])")
+CONNECTION_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
+TIMEOUT_UNITS_S = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9}
 Headers = list[tuple[str, str]]
 
 
 class Code(IntEnum):
-    """Status codes of gRPC."""
+    """The gRPC status codes that are used here."""
 
     OK = 0
     CANCELLED = 1
@@ -36,7 +36,7 @@
 
 
 class GrpcError(Exception):
-    """The call ends with this status."""
+    """The status that a call ends with, its message and its trailing metadata."""
 
     def __init__(self, code: int, message: str, metadata: Iterable[tuple[str, str]] = ()) -> None:
         super().__init__(message)
@@ -51,50 +51,56 @@
 
 
 def status_of(headers: dict[str, str]) -> tuple[int, str]:
-    """The code and message of trailers; UNKNOWN where a peer sends something else."""
+    """Return the status code and message of trailers; the code is UNKNOWN if it is missing or malformed."""
     text = headers.get("grpc-status", "")
     return (int(text) if text.isdigit() else Code.UNKNOWN), unquote(headers.get("grpc-message", ""))
 
 
 def parse_timeout(text: str) -> float:
-    match = TIMEOUT.fullmatch(text)
+    """Return the seconds of a `grpc-timeout` value; raise GrpcError if it is malformed."""
+    match = TIMEOUT_PATTERN.fullmatch(text)
     if match is None:
         raise GrpcError(Code.INVALID_ARGUMENT, f"grpc-timeout is malformed: {text[:40]}")
-    return int(match[1]) * UNITS[match[2]]
+    return int(match[1]) * TIMEOUT_UNITS_S[match[2]]
 
 
 def format_timeout(seconds: float) -> str:
-    """At most eight digits, as the protocol asks."""
+    """Return a `grpc-timeout` value of at most eight digits, the protocol's limit."""
     micros = max(int(seconds * 1e6), 1)
     return f"{micros}u" if micros < 10**8 else f"{min(int(seconds * 1e3), 10**8 - 1)}m"
 
 
 def frame(message: bytes) -> bytes:
+    """Return an uncompressed message with gRPC's length prefix."""
     return struct.pack(">BI", 0, len(message)) + message
 
 
 class Deframer:
-    """Cuts messages out of a stream's data."""
+    """Extracts length-prefixed messages from the data of a stream."""
 
-    def __init__(self, largest: int) -> None:
-        self._largest = largest
+    def __init__(self, max_message_bytes: int) -> None:
+        self._max_message_bytes = max_message_bytes
         self._data = bytearray()
 
     @property
     def partial(self) -> bool:
+        """Whether data is buffered that has not been returned as a message."""
         return bool(self._data)
 
     def feed(self, data: bytes) -> None:
         self._data += data
 
     def next(self) -> bytes | None:
-        """A whole message, or None until more has been fed."""
+        """Return the next whole message, or None if more data is needed.
+
+        Raise GrpcError for a message that is compressed or too large.
+        """
         if len(self._data) < 5:
             return None
         compressed, length = struct.unpack_from(">BI", self._data)
         if compressed:
             raise GrpcError(Code.UNIMPLEMENTED, "compressed messages are not supported")
-        if length > self._largest:
+        if length > self._max_message_bytes:
             raise GrpcError(Code.RESOURCE_EXHAUSTED, f"a message of {length} bytes is too large")
         if len(self._data) < 5 + length:
             return None
@@ -105,47 +111,50 @@
 
 @dataclass(frozen=True, slots=True)
 class GoAway:
-    """A GOAWAY: streams above the last one were not taken; the others go on to their ends."""
+    """A GOAWAY frame: streams above the last one were not processed; the others may complete."""
 
     last_stream_id: int
     error_code: int
 
 
 class GoAwayFilter:
-    """Takes GOAWAY frames out of what goes to h2. Guards open streams: h2 takes a connection for closed at a
-    GOAWAY and fails on the next frame, while a peer that shuts down in good order finishes its streams.
+    """Removes GOAWAY frames from received data before it is passed to h2.
+
+    h2 treats a connection as closed after a GOAWAY and fails on the next frame, while a peer that shuts down
+    gracefully completes its open streams.
     """
 
-    HEAD, GOAWAY = 9, 7
+    HEADER_BYTES, GOAWAY_TYPE = 9, 7
 
     def __init__(self, preface: bool) -> None:
-        self._left = len(PREFACE) if preface else 0  # bytes of the present frame still to come
-        self._head = b""
-        self._farewell: bytearray | None = None
+        self._remaining = len(CONNECTION_PREFACE) if preface else 0  # bytes of the current frame
+        self._header = b""
+        self._goaway: bytearray | None = None  # payload of the current frame if it is a GOAWAY
 
     def strip(self, data: bytes) -> tuple[bytes, list[GoAway]]:
+        """Return the data without GOAWAY frames, and the GOAWAY frames that became complete."""
         rest, found = bytearray(), []
         while data:
-            if self._left:
-                part, data = data[: self._left], data[self._left :]
-                self._left -= len(part)
-                if self._farewell is None:
+            if self._remaining:
+                part, data = data[: self._remaining], data[self._remaining :]
+                self._remaining -= len(part)
+                if self._goaway is None:
                     rest += part
                     continue
-                self._farewell += part
-                if not self._left:
-                    last, error = struct.unpack_from(">II", self._farewell)
-                    found.append(GoAway(last & 0x7FFFFFFF, error))
-                    self._farewell = None
+                self._goaway += part
+                if not self._remaining:
+                    last_stream_id, error_code = struct.unpack_from(">II", self._goaway)
+                    found.append(GoAway(last_stream_id & 0x7FFFFFFF, error_code))
+                    self._goaway = None
                 continue
-            need = self.HEAD - len(self._head)
-            self._head, data = self._head + data[:need], data[need:]
-            if len(self._head) < self.HEAD:
+            missing = self.HEADER_BYTES - len(self._header)
+            self._header, data = self._header + data[:missing], data[missing:]
+            if len(self._header) < self.HEADER_BYTES:
                 continue
-            self._left = int.from_bytes(self._head[:3], "big")
-            if self._head[3] == self.GOAWAY and 8 <= self._left <= 16384:
-                self._farewell = bytearray()
-            else:  # h2 complains by itself of what is malformed
-                rest += self._head
-            self._head = b""
+            self._remaining = int.from_bytes(self._header[:3], "big")
+            if self._header[3] == self.GOAWAY_TYPE and 8 <= self._remaining <= 16384:
+                self._goaway = bytearray()
+            else:  # h2 itself raises an error for a malformed frame
+                rest += self._header
+            self._header = b""
         return bytes(rest), found
