--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -15,7 +15,7 @@
 from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
-from .metadata import MARK, CallHead, answer_of, rpc_from
+from .metadata import OWN_PREFIX, StreamHead, error_status_of, rpc_from
 
 if TYPE_CHECKING:
     from .connection import ClientConnection
@@ -29,7 +29,7 @@
     def __init__(self, client: ClientConnection, number: int, headers: Headers) -> None:
         self.client = client
         self.number = number
-        self.head = CallHead(number, headers)
+        self.head = StreamHead(number, headers)
         self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
         self.deframer = Deframer(limits.LARGEST_BODY)
@@ -97,10 +97,10 @@
             while view:
                 if self.reset:
                     raise ConnectionLost("the client has cancelled")
-                room = wire.room(self.number)
+                room = wire.send_window(self.number)
                 if room <= 0:  # the client reads slowly: so does the engine, then
                     await wire.flush()
-                    await wire.window_grew.wait()
+                    await wire.window_changed.wait()
                     continue
                 wire.h2.send_data(self.number, bytes(view[:room]))
                 view = view[room:]
@@ -141,8 +141,8 @@
         """Let the client send on; what was read is bounded by the largest message."""
         if self.unread and not self.ended:
             unread, self.unread = self.unread, 0
-            self.client.wire.consumed(self.number, unread)
-            self.client.wire.hand_over()
+            self.client.wire.acknowledge(self.number, unread)
+            self.client.wire.queue_output()
 
     async def run(self) -> None:
         """Lead the call to its one status."""
@@ -176,8 +176,8 @@
         service, _, method = self.head.headers.get(":path", "").removeprefix("/").partition("/")
         if service != SERVICE:
             raise GrpcError(Code.UNIMPLEMENTED, f"unknown service {service[:100]}")
-        if self.head.twice:
-            raise GrpcError(Code.INVALID_ARGUMENT, f"{self.head.twice} is given twice")
+        if self.head.repeated_field:
+            raise GrpcError(Code.INVALID_ARGUMENT, f"{self.head.repeated_field} is given twice")
         if self.head.headers.get("grpc-encoding", "identity") != "identity":
             raise GrpcError(Code.UNIMPLEMENTED, "compressed messages are not supported")
         if method == "ModelStreamInfer":
@@ -215,7 +215,9 @@
                 Code.UNAVAILABLE, "too many open requests", [("grpc-retry-pushback-ms", "1000")]
             ) from None
         except NameTaken:
-            raise GrpcError(Code.ALREADY_EXISTS, f"{MARK}request-id is that of an open request") from None
+            raise GrpcError(
+                Code.ALREADY_EXISTS, f"{OWN_PREFIX}request-id is that of an open request"
+            ) from None
         self.answering = True
         try:
             await self.finished.wait()
@@ -223,7 +225,7 @@
             self.answering = False
             front.core.client_gone(rpc)  # of no effect once it is answered
         assert self.final is not None
-        error = answer_of(self.final)
+        error = error_status_of(self.final)
         if error is not None:
             raise error
         if isinstance(self.final.verdict, GrpcError):
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -34,7 +34,7 @@
 from ..engine import NeverTaken, PooledEngineClient, ProtocolFault
 from ..loads import HEADER, parse_load
 from .grpc import H2Wire
-from .metadata import HOP, KservePayload
+from .metadata import HOP_METADATA, KservePayload
 
 LOAD = HEADER.lower()
 # The request is at fault, not the engine: another would say the same, so the client gets this word as it is.
@@ -90,7 +90,7 @@
                 self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.DataReceived():
                 self.deframer.feed(event.data or b"")
-                self.line.wire.consumed(self.number, event.flow_controlled_length or 0)
+                self.line.wire.acknowledge(self.number, event.flow_controlled_length or 0)
             case h2.events.StreamEnded():
                 self.ended = True
             case h2.events.StreamReset():
@@ -103,7 +103,7 @@
         """The request, as the engine gives room for it; an answer that comes before its end stops it."""
         wire, view = self.line.wire, memoryview(data)
         while view and not self.ended:
-            room = wire.room(self.number)
+            room = wire.send_window(self.number)
             if room > 0:
                 chunk = bytes(view[:room])
                 view = view[room:]
@@ -141,7 +141,7 @@
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
-        self.wire = H2Wire(connection, client_side=True, most_streams=0)
+        self.wire = H2Wire(connection, client_side=True, max_streams=0)
         self.going = False
 
     async def usable(self) -> bool:
@@ -214,7 +214,9 @@
         load = exchange.load()
         names = dict(exchange.trailers)
         metadata = [
-            (k, v) for k, v in exchange.trailers if not HOP.match(k) and k not in (LOAD, "x-never-ran")
+            (k, v)
+            for k, v in exchange.trailers
+            if not HOP_METADATA.match(k) and k not in (LOAD, "x-never-ran")
         ]
         if code == Code.OK:
             return Report(Status.OK, load, verdict=GrpcError(Code.OK, text, metadata))
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -16,12 +16,12 @@
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
 from .call import ClientStream
-from .grpc import ServerWire
+from .grpc import FrontWire
 
 if TYPE_CHECKING:
     from .front import KserveFront
 
-MOST_STREAMS = 64  # at once on a connection
+MAX_STREAMS = 64  # at once on a connection
 PING_S = 10.0  # for the answer to a keepalive ping
 IDLE_S = 60.0
 
@@ -33,7 +33,7 @@
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
-        self.wire = ServerWire(connection, MOST_STREAMS)
+        self.wire = FrontWire(connection, MAX_STREAMS)
         self.streams: dict[int, ClientStream] = {}
         self.scope = trio.CancelScope()
         self.heard_at = trio.current_time()
@@ -56,7 +56,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        return self.wire.unsent or any(stream.owes_answer for stream in self.streams.values())
+        return self.wire.has_unsent or any(stream.owes_answer for stream in self.streams.values())
 
     @property
     def since(self) -> float:
@@ -74,7 +74,7 @@
         self.streams.pop(stream.number, None)
         stream.release()
         if stream.unread:  # what nobody will read must not narrow the connection for the others
-            self.wire.consumed(stream.number, stream.unread)
+            self.wire.acknowledge(stream.number, stream.unread)
         if not self.streams:
             self.idle_since = trio.current_time()
             self.front.queue.add(self)
@@ -86,20 +86,20 @@
         await self.ending.wait()
         with trio.move_on_after(1.0):
             await self.wire.flush()
-            await self.wire.flushed()
+            await self.wire.wait_written()
         self.scope.cancel()
 
     async def run(self) -> None:
         try:
             with self.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self.wire.write)
+                    nursery.start_soon(self.wire.run_writer)
                     nursery.start_soon(self.keep_alive)
                     nursery.start_soon(self.greeted)
                     nursery.start_soon(self.end)
                     await self.read(nursery)
                     with trio.move_on_after(1.0):
-                        await self.wire.flushed()  # the farewell, if the client was at fault
+                        await self.wire.wait_written()  # the farewell, if the client was at fault
                     if self.at_fault:
                         await self.wire.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
                     nursery.cancel_scope.cancel()
@@ -124,7 +124,7 @@
                 self.take(event, nursery)
             if not self.streams:
                 self.front.queue.add(self)
-            self.wire.hand_over()
+            self.wire.queue_output()
 
     def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
         match event:
@@ -148,7 +148,7 @@
                 length = event.flow_controlled_length or 0
                 taker = self.streams.get(event.stream_id)
                 if taker is None:  # answered already; the connection's window must not starve of it
-                    self.wire.consumed(event.stream_id, length)
+                    self.wire.acknowledge(event.stream_id, length)
                 else:
                     taker.feed(event.data, length)
             case h2.events.StreamEnded():
@@ -201,6 +201,6 @@
         last = 2**31 - 1 if self.front.accepting else self.wire.h2.highest_inbound_stream_id
         notice = GoAwayFrame(0, last_stream_id=last, error_code=0)
         self.going, self.gone = True, not self.front.accepting
-        self.wire.raw(notice.serialize())
+        self.wire.queue_frame(notice.serialize())
         if not self.streams and not self.front.accepting:
             self.ending.set()
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -78,6 +78,6 @@
         for client in list(self.clients):
             client.go_away()
             try:
-                client.wire.hand_over()  # one that reads nothing must not keep the others waiting
+                client.wire.queue_output()  # one that reads nothing must not keep the others waiting
             except ConnectionLost:
                 client.scope.cancel()
--- a/sorreldock/protocol/kserve/grpc.py
+++ b/sorreldock/protocol/kserve/grpc.py
@@ -1,4 +1,4 @@
-"""gRPC on HTTP/2 as the front and the engine client share it: the connection."""
+"""HTTP/2 connections for gRPC, used by the front and by the client side towards servers."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class H2Wire:
-    """A connection with its HTTP/2 state: change the state, then `flush`."""
+    """A connection with its HTTP/2 state; change the state, then call `flush`."""
 
-    def __init__(self, connection: Connection, client_side: bool, most_streams: int) -> None:
+    def __init__(self, connection: Connection, client_side: bool, max_streams: int) -> None:
         self.connection = connection
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(client_side=client_side, header_encoding="utf-8")
         )
         values = {
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: most_streams,
+            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: max_streams,
             h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
         }
         if client_side:
@@ -31,85 +31,92 @@
         self.h2.local_settings = h2.settings.Settings(client_side, values)
         self.h2.initiate_connection()
         self._goaway_filter = GoAwayFilter(preface=not client_side)
-        self._raw = b""
-        self.window_grew = trio.Event()
+        self._queued_frames = b""
+        self.window_changed = trio.Event()
 
     async def receive(self) -> list[h2.events.Event | GoAway] | None:
-        """What arrived, in one read; None at the peer's end."""
+        """Read once and return the events that arrived; None at the peer's end of stream."""
         data = await self.connection.receive()
         if not data:
             return None
         rest, goaways = self._goaway_filter.strip(data)
         events: list[h2.events.Event | GoAway] = list(self.h2.receive_data(rest))
         for event in events:
-            # Wake those who wait for room to send.
+            # Wake the tasks that wait for the flow-control window to open.
             if isinstance(event, h2.events.WindowUpdated | h2.events.RemoteSettingsChanged):
-                self.window_grew.set()
-                self.window_grew = trio.Event()
+                self.window_changed.set()
+                self.window_changed = trio.Event()
         return events + goaways
 
     async def flush(self) -> None:
-        """Write what the state has to say. For one task alone; `ServerWire` serves many."""
-        data = self.take_out()
+        """Write the pending output. Must be called from one task only; `FrontWire` supports several."""
+        data = self.take_output()
         if data:
             await self.connection.send(data)
 
-    def take_out(self) -> bytes:
-        data, self._raw = self.h2.data_to_send() + self._raw, b""
+    def take_output(self) -> bytes:
+        """Remove and return the pending output."""
+        data, self._queued_frames = self.h2.data_to_send() + self._queued_frames, b""
         return data
 
-    def raw(self, frame: bytes) -> None:
-        """A frame for the next flush that the state can't make: a GOAWAY that leaves the streams alive."""
-        self._raw += frame
+    def queue_frame(self, frame: bytes) -> None:
+        """Add a frame that h2 can't produce to the next flush: a GOAWAY that keeps the streams open."""
+        self._queued_frames += frame
 
-    def room(self, stream: int) -> int:
+    def send_window(self, stream: int) -> int:
+        """Return how many bytes a stream may send now in one DATA frame."""
         return min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
 
-    def consumed(self, stream: int, length: int) -> None:
-        """Give the peer room for as much again, on the stream and on the connection."""
+    def acknowledge(self, stream: int, length: int) -> None:
+        """Open the flow-control windows of the stream and the connection by bytes that were processed."""
         if length:
             self.h2.acknowledge_received_data(length, stream)
 
 
-class ServerWire(H2Wire):
-    """A wire that many streams write to. One task alone sends; a stream cancelled while it waits leaves
-    no frame half written, which would end the connection for all the others.
+class FrontWire(H2Wire):
+    """The client-facing wire, to which many streams write.
+
+    Only one task sends: a stream that is cancelled while it waits leaves no partially written frame, which
+    would break the connection for all the other streams.
     """
 
-    MOST_PENDING = 64 * 1024
-    MOST_CONTROL = 64 * 1024  # answers to a client's own frames (settings, pings) that it may leave unread
+    MAX_PENDING_BYTES = 64 * 1024
+    MAX_CONTROL_BYTES = 64 * 1024  # replies to a client's SETTINGS and PING frames that it may leave unread
 
-    def __init__(self, connection: Connection, most_streams: int) -> None:
-        super().__init__(connection, client_side=False, most_streams=most_streams)
+    def __init__(self, connection: Connection, max_streams: int) -> None:
+        super().__init__(connection, client_side=False, max_streams=max_streams)
         self._pending = b""
-        self._control_bytes = 0  # of those, control frames handed over since the last write ended
+        self._control_bytes = 0  # output of `queue_output` since the last write ended
         self._sending = False
         self._wake = trio.Event()
         self._sent = trio.Event()
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         return bool(self._pending) or self._sending
 
-    def hand_over(self) -> None:
-        """Hand over control frames without waiting for the client to read its answers: a cancel that arrives
-        meanwhile would not be seen, and a request not be read.
+    def queue_output(self) -> None:
+        """Queue control frames for sending without waiting until the client reads its answers.
+
+        While waiting, the connection would read neither a cancellation nor another request. Raise
+        ConnectionLost if the client keeps sending frames that need a reply but reads nothing.
         """
-        control = self.take_out()
+        control = self.take_output()
         self._control_bytes += len(control)
-        if self._control_bytes > self.MOST_CONTROL:
-            raise ConnectionLost("the client takes nothing and sends on")
+        if self._control_bytes > self.MAX_CONTROL_BYTES:
+            raise ConnectionLost("the client keeps sending but reads nothing")
         self._pending += control
         self._wake.set()
 
     async def flush(self) -> None:
-        """Hand over what the state has to say, and wait while too much of it is unsent."""
-        self._pending += self.take_out()
+        """Queue the pending output for sending, and wait while too much of it is unsent."""
+        self._pending += self.take_output()
         self._wake.set()
-        while len(self._pending) > self.MOST_PENDING:
+        while len(self._pending) > self.MAX_PENDING_BYTES:
             await self._sent.wait()
 
-    async def write(self) -> None:
+    async def run_writer(self) -> None:
+        """Send the queued output for as long as the connection lasts."""
         while True:
             while not self._pending:
                 self._wake = trio.Event()
@@ -119,13 +126,13 @@
             with trio.move_on_after(limits.WRITE_S) as scope:
                 await self.connection.send(data)
             if scope.cancelled_caught:
-                raise ConnectionLost("the client takes nothing")
+                raise ConnectionLost("the client reads nothing")
             self._sending = False
             self._control_bytes = 0
             self._sent.set()
             self._sent = trio.Event()
 
-    async def flushed(self) -> None:
-        """Wait until all has been written."""
-        while self.unsent:
+    async def wait_written(self) -> None:
+        """Wait until all queued output has been written."""
+        while self.has_unsent:
             await self._sent.wait()
--- a/sorreldock/protocol/kserve/metadata.py
+++ b/sorreldock/protocol/kserve/metadata.py
@@ -1,4 +1,4 @@
-"""The metadata of gRPC calls: the router's own, and what passes on to an engine."""
+"""The metadata of gRPC requests: the router's own, and what is forwarded to a server."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 from ...kserve.framing import Code, GrpcError, Headers, parse_timeout
 from ...routing.types import RPC, Cause, EventSink, Final, Outcome, Router
 
-LONGEST_WAIT_S = 3600.0
-MARK = "sorreldock-"  # what the router's own metadata begins with
-# Metadata that is not the application's, or that the next hop sets anew.
-HOP = re.compile(r":|grpc-|te$|content-type$|user-agent$|host$|connection$|x-forwarded|accept-encoding$")
+MAX_DEADLINE_S = 3600.0
+OWN_PREFIX = "sorreldock-"  # of the router's own metadata
+# Metadata that isn't forwarded: it belongs to the transport, or is set again for the next hop.
+HOP_METADATA = re.compile(
+    r":|grpc-|te$|content-type$|user-agent$|host$|connection$|x-forwarded|accept-encoding$"
+)
 
 
 @dataclass(frozen=True, slots=True)
 class KservePayload:
-    """What passes on to an engine untranslated."""
+    """The part of a request that is forwarded to a server unchanged."""
 
     method: str
     metadata: Headers
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """What an operator's file says of the gRPC front."""
+    """The settings of the gRPC front from the operator's file."""
 
     models: tuple[str, ...]
     default_class: str
@@ -36,39 +38,41 @@
     keepalive_s: float
 
 
-class CallHead:
-    """A call's metadata as it arrived."""
+class StreamHead:
+    """The metadata of a stream as it arrived."""
 
     def __init__(self, number: int, headers: Headers) -> None:
         self.number = number
         self.headers = dict(headers)
-        # Guards against calls that two readers read differently, as on the platform's front.
-        own = [k for k, _ in headers if k.startswith(MARK) or k in ("grpc-timeout", "content-type")]
-        self.twice = next((k for k in own if own.count(k) > 1), "")
-        self.metadata = [(k, v) for k, v in headers if not HOP.match(k) and not k.startswith(MARK)]
+        # Repeated fields are errors, as on the HTTP front: two readers might interpret them differently.
+        own = [k for k, _ in headers if k.startswith(OWN_PREFIX) or k in ("grpc-timeout", "content-type")]
+        self.repeated_field = next((k for k in own if own.count(k) > 1), "")
+        self.metadata = [
+            (k, v) for k, v in headers if not HOP_METADATA.match(k) and not k.startswith(OWN_PREFIX)
+        ]
         self.arrived_at = trio.current_time()
 
 
-def answer_of(final: Final) -> GrpcError | None:
-    """The status of an RPC's final answer; None for OK."""
-    if isinstance(final.verdict, GrpcError):  # an engine's own word on a faulty request
+def error_status_of(final: Final) -> GrpcError | None:
+    """Return the error status of an RPC's final answer; None for OK."""
+    if isinstance(final.verdict, GrpcError):  # a server's own status for an invalid request
         return final.verdict if final.verdict.code != Code.OK else None
     if final.outcome is Outcome.SERVED:
         return None
     if final.cause is Cause.DEADLINE:
         return GrpcError(Code.DEADLINE_EXCEEDED, "no answer began in time")
     if final.outcome is Outcome.REFUSED:
-        # Without the module's advice 0: trying again is harmless. Clients read it as milliseconds.
-        pause = max(math.ceil(final.retry_after_s * 1000), 0)
-        advice = [("grpc-retry-pushback-ms", str(pause))]
-        return GrpcError(Code.UNAVAILABLE, f"refused: {final.cause.value}", advice)
+        # 0 if the decision module gives no retry time: a retry is harmless. The unit is milliseconds.
+        pushback_ms = max(math.ceil(final.retry_after_s * 1000), 0)
+        metadata = [("grpc-retry-pushback-ms", str(pushback_ms))]
+        return GrpcError(Code.UNAVAILABLE, f"refused: {final.cause.value}", metadata)
     if final.may_have_run:
         return GrpcError(Code.INTERNAL, "the engine failed, and may have run the request")
     return GrpcError(Code.UNAVAILABLE, "no engine could be reached")
 
 
 def rpc_from(
-    call: CallHead,
+    head: StreamHead,
     method: str,
     message: bytes,
     request_id: str,
@@ -76,36 +80,36 @@
     core: Router,
     sink: EventSink,
 ) -> RPC:
-    """The RPC of one request message; GrpcError for metadata that can't be used."""
-    fields = {k.removeprefix(MARK): v for k, v in call.headers.items() if k.startswith(MARK)}
+    """Return the RPC of one request message; raise GrpcError for invalid metadata."""
+    fields = {k.removeprefix(OWN_PREFIX): v for k, v in head.headers.items() if k.startswith(OWN_PREFIX)}
     if any(len(value) > 200 for value in fields.values()):
         raise GrpcError(Code.INVALID_ARGUMENT, "a value of our metadata is too long")
     rpc_class = fields.get("class", settings.default_class)
     if rpc_class not in core.classes:
-        raise GrpcError(Code.INVALID_ARGUMENT, f"{MARK}class names no class: {rpc_class or 'missing'}")
+        raise GrpcError(Code.INVALID_ARGUMENT, f"{OWN_PREFIX}class names no class: {rpc_class or 'missing'}")
     tenant = fields.get("tenant", settings.default_tenant)
     if core.tenants and tenant not in core.tenants:
-        raise GrpcError(Code.INVALID_ARGUMENT, f"{MARK}tenant names no tenant: {tenant or 'missing'}")
+        raise GrpcError(Code.INVALID_ARGUMENT, f"{OWN_PREFIX}tenant names no tenant: {tenant or 'missing'}")
 
     def tokens(name: str) -> int:
         text = fields.get(name, "0")
         if not re.fullmatch(r"\d{1,9}", text):
-            raise GrpcError(Code.INVALID_ARGUMENT, f"{MARK}{name} is not a whole number")
+            raise GrpcError(Code.INVALID_ARGUMENT, f"{OWN_PREFIX}{name} is not a whole number")
         return int(text)
 
-    timeout = call.headers.get("grpc-timeout")
+    timeout = head.headers.get("grpc-timeout")
     if timeout is None:
-        left = core.classes[rpc_class].deadline_s
+        expires_in_s = core.classes[rpc_class].deadline_s
     else:
-        left = min(parse_timeout(timeout), LONGEST_WAIT_S) - (trio.current_time() - call.arrived_at)
-        if left <= 0:
+        expires_in_s = min(parse_timeout(timeout), MAX_DEADLINE_S) - (trio.current_time() - head.arrived_at)
+        if expires_in_s <= 0:
             raise GrpcError(Code.DEADLINE_EXCEEDED, "the deadline has passed")
     return RPC(
-        name=fields.get("request-id") or request_id[:200] or f"grpc-{call.number}",
+        name=fields.get("request-id") or request_id[:200] or f"grpc-{head.number}",
         protocol="kserve",
         rpc_class=rpc_class,
-        expires_in_s=left,
-        payload=KservePayload(method, call.metadata, message),
+        expires_in_s=expires_in_s,
+        payload=KservePayload(method, head.metadata, message),
         sink=sink,
         session=fields.get("session", ""),
         prefix=fields.get("prefix", ""),
@@ -113,7 +117,7 @@
         prompt_tokens=tokens("prompt-tokens"),
         prefix_tokens=tokens("prefix-tokens"),
         max_output_tokens=tokens("max-output-tokens"),
-        is_retry=call.headers.get("grpc-previous-rpc-attempts", "0") != "0",
-        # The standard's own id need not be unique: clients count from 1.
+        is_retry=head.headers.get("grpc-previous-rpc-attempts", "0") != "0",
+        # The id of the standard's request message need not be unique: clients count from 1.
         named_by_client=bool(fields.get("request-id")),
     )
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -17,7 +17,7 @@
 from sorreldock.program.phases import Phase
 from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol.kserve import connection as kserve_connection
-from sorreldock.protocol.kserve.grpc import ServerWire
+from sorreldock.protocol.kserve.grpc import FrontWire
 from sorreldock.transport.connection import Connection
 
 
@@ -307,18 +307,18 @@
 @story
 async def test_a_stream_cancelled_while_it_waits_to_write_garbles_nothing() -> None:
     ours, theirs = trio.socket.socketpair()
-    wire = ServerWire(Connection(ours, lambda: None), 1)
+    wire = FrontWire(Connection(ours, lambda: None), 1)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(wire.write)
-        start = wire.take_out()
-        wire.raw(b"x" * 5_000_000)
+        nursery.start_soon(wire.run_writer)
+        start = wire.take_output()
+        wire.queue_frame(b"x" * 5_000_000)
         nursery.start_soon(wire.flush)
         await trio.testing.wait_all_tasks_blocked()  # the peer's buffers are full
-        wire.raw(b"y" * 100_000)
+        wire.queue_frame(b"y" * 100_000)
         with trio.move_on_after(0) as scope:
             await wire.flush()
         assert scope.cancelled_caught and start
-        wire.raw(b"z")
+        wire.queue_frame(b"z")
         nursery.start_soon(wire.flush)
         got = b""
         while not got.endswith(b"z"):
