--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -1,4 +1,4 @@
-"""One gRPC call: its stream, its messages, its RPCs and its one status."""
+"""A client's gRPC stream: its messages, the RPCs that they start, and its final status."""
 
 from __future__ import annotations
 
@@ -20,42 +20,45 @@
 if TYPE_CHECKING:
     from .connection import ClientConnection
 
-HEAD = [(":status", "200"), ("content-type", "application/grpc")]
+RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 
 
 class ClientStream:
-    """A stream, and the sink of the RPC that is on it."""
+    """A client's stream, and the event sink of its current RPC."""
 
     def __init__(self, client: ClientConnection, number: int, headers: Headers) -> None:
         self.client = client
         self.number = number
         self.head = StreamHead(number, headers)
-        self.unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
+        self.is_unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
         self.deframer = Deframer(limits.LARGEST_BODY)
         self.held_bytes = 0  # of the payload budget
-        self.unread = 0  # bytes in the deframer that the peer has not got back as room
-        self.crowded = False  # its request found no room in memory
-        self.ended = False  # the client has sent all
+        self.unacknowledged_bytes = 0  # received, not yet acknowledged for flow control
+        self.exceeds_budget = False  # a message didn't fit into the payload budget
+        self.ended = False  # the client has half-closed the stream
         self.reset = False
         self.changed = trio.Event()
         self.head_sent = False
-        self.trailing: Headers = []  # the engine's own, for the client
+        self.trailing_metadata: Headers = []  # the server's, forwarded to the client
         self.final: Final | None = None
         self.finished = trio.Event()
-        self.answering = False  # from a request's submission until its answer is handed to the wire
+        self.is_answering = False  # from submitting a request until its answer is queued for sending
 
     @property
     def owes_answer(self) -> bool:
-        """A long stream between two requests owes none."""
-        return self.unary or self.answering or self.deframer.partial
+        """Whether a request has been received, at least in part, and its answer isn't sent yet.
 
-    # The core's side.
+        A ModelStreamInfer stream between two requests owes none.
+        """
+        return self.is_unary or self.is_answering or self.deframer.partial
+
+    # The interface for the core.
 
     async def event(self, data: bytes) -> None:
         if self.final is not None or self.reset:
             raise SinkClosed
-        self.release()  # an answer has begun: the core has let the payload go
+        self.release_payload()  # an answer has started: the core no longer holds the payload
         try:
             await self.send(frame(data))
         except (ConnectionLost, h2.exceptions.ProtocolError):
@@ -68,109 +71,111 @@
     def left(self) -> bool:
         return self.reset or self.client.wire.connection.closed_by_peer
 
-    # The wire's side.
+    # The interface for the connection.
 
     def notify(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
     def feed(self, data: bytes, length: int) -> None:
-        self.unread += length
+        self.unacknowledged_bytes += length
         if self.client.front.payloads.acquire(len(data)):
             self.held_bytes += len(data)
             self.deframer.feed(data)
         else:
-            self.crowded = True
+            self.exceeds_budget = True
         self.notify()
 
-    def release(self) -> None:
+    def release_payload(self) -> None:
         self.client.front.payloads.release(self.held_bytes)
         self.held_bytes = 0
 
     async def send(self, data: bytes) -> None:
+        """Send data as flow control allows; raise ConnectionLost if the client reads nothing."""
         wire = self.client.wire
         if not self.head_sent:
             self.head_sent = True
-            wire.h2.send_headers(self.number, HEAD)
+            wire.h2.send_headers(self.number, RESPONSE_HEADERS)
         view = memoryview(data)
         with trio.move_on_after(limits.WRITE_S) as scope:
             while view:
                 if self.reset:
-                    raise ConnectionLost("the client has cancelled")
-                room = wire.send_window(self.number)
-                if room <= 0:  # the client reads slowly: so does the engine, then
+                    raise ConnectionLost("the client has cancelled the stream")
+                window = wire.send_window(self.number)
+                if window <= 0:  # the client reads slowly, which slows reading from the server too
                     await wire.flush()
                     await wire.window_changed.wait()
                     continue
-                wire.h2.send_data(self.number, bytes(view[:room]))
-                view = view[room:]
+                wire.h2.send_data(self.number, bytes(view[:window]))
+                view = view[window:]
                 await wire.flush()
-        if scope.cancelled_caught:  # guards engines against a client that never reads
+        if scope.cancelled_caught:  # don't keep a server busy for a client that never reads
             self.abort(h2.errors.ErrorCodes.CANCEL)
-            raise ConnectionLost("the client takes nothing")
+            raise ConnectionLost("the client reads nothing")
 
     def abort(self, code: h2.errors.ErrorCodes) -> None:
         if not self.reset:
             self.reset = True
             self.client.wire.h2.reset_stream(self.number, code)
 
-    async def message(self) -> bytes | None:
-        """The next request message; None when the client has sent all."""
+    async def next_message(self) -> bytes | None:
+        """Return the next request message; None once the client has half-closed the stream."""
         while True:
-            if self.crowded:
+            if self.exceeds_budget:
                 raise GrpcError(
                     Code.UNAVAILABLE, "too many large requests", [("grpc-retry-pushback-ms", "1000")]
                 )
             message = self.deframer.next()
             if message is not None:
-                self.give_room()
+                self.acknowledge_received()
                 return message
             if self.ended:
                 if self.deframer.partial:
                     raise GrpcError(Code.INVALID_ARGUMENT, "the last message is cut off")
                 return None
-            self.give_room()
-            # A stream may stand open between its messages; a request that has begun goes on.
-            begun = self.unary or self.deframer.partial
-            with trio.move_on_after(limits.STALL_S if begun else math.inf) as stall:
+            self.acknowledge_received()
+            # A stream may stay open between messages; a message that has started must continue.
+            started = self.is_unary or self.deframer.partial
+            with trio.move_on_after(limits.STALL_S if started else math.inf) as stall:
                 await self.changed.wait()
             if stall.cancelled_caught:
                 raise GrpcError(Code.DEADLINE_EXCEEDED, "the request does not go on")
 
-    def give_room(self) -> None:
-        """Let the client send on; what was read is bounded by the largest message."""
-        if self.unread and not self.ended:
-            unread, self.unread = self.unread, 0
-            self.client.wire.acknowledge(self.number, unread)
+    def acknowledge_received(self) -> None:
+        """Open the flow-control window by what was received; the maximum message size bounds the memory."""
+        if self.unacknowledged_bytes and not self.ended:
+            count, self.unacknowledged_bytes = self.unacknowledged_bytes, 0
+            self.client.wire.acknowledge(self.number, count)
             self.client.wire.queue_output()
 
     async def run(self) -> None:
-        """Lead the call to its one status."""
+        """Serve the stream until its final status has been sent."""
         try:
             with self.scope:
                 try:
-                    await self.call()
-                    await self.close(Code.OK, metadata=self.trailing)
+                    await self.handle()
+                    await self.send_status(Code.OK, metadata=self.trailing_metadata)
                 except GrpcError as error:
-                    await self.close(error.code, error.message, error.metadata)
+                    await self.send_status(error.code, error.message, error.metadata)
         except (ConnectionLost, h2.exceptions.ProtocolError):
-            pass  # the client has cancelled or gone: nobody is there to hear the status
+            pass  # the client has cancelled or closed; the status can't be sent
         finally:
-            self.client.over(self)
+            self.client.remove_stream(self)
 
-    async def close(self, code: int, message: str = "", metadata: Headers | None = None) -> None:
+    async def send_status(self, code: int, message: str = "", metadata: Headers | None = None) -> None:
         if self.reset:
             return
         wire = self.client.wire
         fields = trailers(code, message, metadata or [])
         if not self.head_sent:
-            fields = [*HEAD, *fields]
+            fields = [*RESPONSE_HEADERS, *fields]
         wire.h2.send_headers(self.number, fields, end_stream=True)
-        if not self.ended:  # it need not send the rest of what nobody reads
+        if not self.ended:  # tell the client not to send the rest of its request
             wire.h2.reset_stream(self.number, h2.errors.ErrorCodes.NO_ERROR)
         await wire.flush()
 
-    async def call(self) -> None:
+    async def handle(self) -> None:
+        """Serve the method that the stream's head names; raise GrpcError for any status but OK."""
         if self.head.headers.get(":method") != "POST":
             raise GrpcError(Code.UNIMPLEMENTED, "gRPC calls are POST requests")
         service, _, method = self.head.headers.get(":path", "").removeprefix("/").partition("/")
@@ -181,14 +186,14 @@
         if self.head.headers.get("grpc-encoding", "identity") != "identity":
             raise GrpcError(Code.UNIMPLEMENTED, "compressed messages are not supported")
         if method == "ModelStreamInfer":
-            while (message := await self.message()) is not None:
+            while (message := await self.next_message()) is not None:
                 await self.infer(method, message)
             if not self.head_sent:
                 await self.send(b"")
             return
         with trio.move_on_after(limits.BODY_S) as scope:
-            message = await self.message()
-            if message is not None and await self.message() is not None:
+            message = await self.next_message()
+            if message is not None and await self.next_message() is not None:
                 raise GrpcError(Code.INVALID_ARGUMENT, "a unary call with two messages")
         if scope.cancelled_caught:
             raise GrpcError(Code.DEADLINE_EXCEEDED, "the request did not arrive in time")
@@ -197,15 +202,15 @@
         if method == "ModelInfer":
             await self.infer(method, message)
             return
-        await self.send(frame(self.client.front.local(method, message).SerializeToString()))
+        await self.send(frame(self.client.front.answer_locally(method, message).SerializeToString()))
 
     async def infer(self, method: str, message: bytes) -> None:
-        """One RPC, from its message to its final answer."""
+        """Run one RPC, from its request message to its final answer."""
         front = self.client.front
         if front.refuses:
             raise GrpcError(Code.UNAVAILABLE, "stopping")
         request = parse(pb.ModelInferRequest(), message)
-        front.known_model(request.model_name)
+        front.check_model(request.model_name)
         rpc = rpc_from(self.head, method, message, request.id, front.settings, front.core, self)
         self.final, self.finished = None, trio.Event()
         try:
@@ -218,26 +223,28 @@
             raise GrpcError(
                 Code.ALREADY_EXISTS, f"{OWN_PREFIX}request-id is that of an open request"
             ) from None
-        self.answering = True
+        self.is_answering = True
         try:
             await self.finished.wait()
         finally:
-            self.answering = False
-            front.core.client_gone(rpc)  # of no effect once it is answered
+            self.is_answering = False
+            front.core.client_gone(rpc)  # no effect once the RPC is answered
         assert self.final is not None
         error = error_status_of(self.final)
         if error is not None:
             raise error
         if isinstance(self.final.verdict, GrpcError):
-            self.trailing = self.final.verdict.metadata  # on a long stream, the last answer's
+            # Of the last answer if the stream carries several.
+            self.trailing_metadata = self.final.verdict.metadata
 
 
-M = TypeVar("M", bound=Message)
+MessageT = TypeVar("MessageT", bound=Message)
 
 
-def parse(into: M, message: bytes) -> M:
+def parse(empty: MessageT, message: bytes) -> MessageT:
+    """Parse a message into an empty object and return it; raise GrpcError if it is malformed."""
     try:
-        into.ParseFromString(message)
+        empty.ParseFromString(message)
     except DecodeError:
         raise GrpcError(Code.INVALID_ARGUMENT, "the message is malformed") from None
-    return into
+    return empty
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -1,4 +1,4 @@
-"""The actor of one gRPC client connection."""
+"""The task that serves one gRPC client connection."""
 
 from __future__ import annotations
 
@@ -21,26 +21,28 @@
 if TYPE_CHECKING:
     from .front import KserveFront
 
-MAX_STREAMS = 64  # at once on a connection
-PING_S = 10.0  # for the answer to a keepalive ping
+MAX_STREAMS = 64  # concurrently on a connection
+PING_S = 10.0  # to wait for the reply to a keepalive ping
 IDLE_S = 60.0
 
 
 class ClientConnection:
-    """The actor of one client connection: the only reader of its wire."""
+    """One client connection, the only reader of its wire, and its streams."""
 
-    held_bytes = 0  # its streams hold their own; a message that has begun counts as taken
+    held_bytes = 0  # its streams reserve their own; a connection with a stream is in the stage TAKEN
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
         self.wire = FrontWire(connection, MAX_STREAMS)
         self.streams: dict[int, ClientStream] = {}
         self.scope = trio.CancelScope()
-        self.heard_at = trio.current_time()
-        self.idle_since = self.heard_at
+        self.last_received_at = trio.current_time()
+        self.idle_since = self.last_received_at
         self.spoken = False
-        self.going = self.gone = self.at_fault = False  # a first GOAWAY was sent; the last one
-        self.ending = trio.Event()
+        self.goaway_sent = self.final_goaway_sent = self.has_protocol_error = (
+            False  # the first, the final GOAWAY was sent
+        )
+        self.should_close = trio.Event()
 
     def close_if_idle(self) -> bool:
         idle = not self.streams and not self.scope.cancel_called
@@ -70,20 +72,23 @@
         self.close_if_idle()
         self.wire.connection.close()
 
-    def over(self, stream: ClientStream) -> None:
+    def remove_stream(self, stream: ClientStream) -> None:
+        """Remove a stream that has ended, and close the connection if it was the last after GOAWAY."""
         self.streams.pop(stream.number, None)
-        stream.release()
-        if stream.unread:  # what nobody will read must not narrow the connection for the others
-            self.wire.acknowledge(stream.number, stream.unread)
+        stream.release_payload()
+        if (
+            stream.unacknowledged_bytes
+        ):  # unread data must not reduce the connection's window for other streams
+            self.wire.acknowledge(stream.number, stream.unacknowledged_bytes)
         if not self.streams:
             self.idle_since = trio.current_time()
             self.front.queue.add(self)
-        if (self.gone or (self.going and not self.front.accepting)) and not self.streams:
-            self.ending.set()
+        if (self.final_goaway_sent or (self.goaway_sent and not self.front.accepting)) and not self.streams:
+            self.should_close.set()
 
-    async def end(self) -> None:
-        """Close once the last status has been written."""
-        await self.ending.wait()
+    async def close_when_written(self) -> None:
+        """Close the connection once it is to end and the last status has been written."""
+        await self.should_close.wait()
         with trio.move_on_after(1.0):
             await self.wire.flush()
             await self.wire.wait_written()
@@ -96,15 +101,15 @@
                     nursery.start_soon(self.wire.run_writer)
                     nursery.start_soon(self.keep_alive)
                     nursery.start_soon(self.greeted)
-                    nursery.start_soon(self.end)
+                    nursery.start_soon(self.close_when_written)
                     await self.read(nursery)
                     with trio.move_on_after(1.0):
-                        await self.wire.wait_written()  # the farewell, if the client was at fault
-                    if self.at_fault:
+                        await self.wire.wait_written()  # the GOAWAY after a protocol error
+                    if self.has_protocol_error:
                         await self.wire.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
-            pass  # the client has gone, or is none of ours
+            pass  # the client has closed, or doesn't speak HTTP/2
 
     async def read(self, nursery: trio.Nursery) -> None:
         await self.wire.flush()
@@ -112,28 +117,28 @@
             try:
                 events = await self.wire.receive()
             except h2.exceptions.ProtocolError:
-                self.at_fault = True
-                await self.wire.flush()  # the state has a GOAWAY to send that says what was wrong
+                self.has_protocol_error = True
+                await self.wire.flush()  # h2 has queued a GOAWAY with the error code
                 return
             if events is None:
                 return
-            self.heard_at = trio.current_time()
+            self.last_received_at = trio.current_time()
             if events and not self.spoken:
-                self.spoken, self.idle_since = True, self.heard_at
+                self.spoken, self.idle_since = True, self.last_received_at
             for event in events:
-                self.take(event, nursery)
+                self.handle_event(event, nursery)
             if not self.streams:
                 self.front.queue.add(self)
             self.wire.queue_output()
 
-    def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
+    def handle_event(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
         match event:
             case h2.events.RequestReceived():
                 assert event.stream_id is not None and event.headers is not None
-                if self.gone or (self.going and not self.front.accepting):
-                    # Named by our GOAWAY as not taken: the client may send it elsewhere.
-                    # It may have been reset in the same read: then there is nothing to refuse, and the other
-                    # streams of the connection must not end for it.
+                if self.final_goaway_sent or (self.goaway_sent and not self.front.accepting):
+                    # Our GOAWAY excluded this stream, so the client may send it elsewhere. If the client has
+                    # reset it in the same read, there is nothing to refuse, and the error must not end the
+                    # other streams of the connection.
                     with suppress(h2.exceptions.StreamClosedError):
                         self.wire.h2.reset_stream(event.stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
                     return
@@ -141,43 +146,44 @@
                 stream = self.streams[event.stream_id] = ClientStream(self, event.stream_id, headers)
                 self.front.queue.remove(self)
                 nursery.start_soon(stream.run)
-                if not self.front.accepting:  # it came while the router was drained: this call and no more
-                    self.go_away()
+                if not self.front.accepting:  # it arrived while draining: serve this RPC only
+                    self.send_goaway()
             case h2.events.DataReceived():
                 assert event.stream_id is not None and event.data is not None
                 length = event.flow_controlled_length or 0
-                taker = self.streams.get(event.stream_id)
-                if taker is None:  # answered already; the connection's window must not starve of it
+                receiver = self.streams.get(event.stream_id)
+                if receiver is None:  # answered already; must not use up the connection's window
                     self.wire.acknowledge(event.stream_id, length)
                 else:
-                    taker.feed(event.data, length)
+                    receiver.feed(event.data, length)
             case h2.events.StreamEnded():
                 ended = self.streams.get(event.stream_id or 0)
                 if ended is not None:
                     ended.ended = True
                     ended.notify()
             case h2.events.StreamReset():
-                gone = self.streams.get(event.stream_id or 0)
-                if gone is not None:  # a cancel: the module hears that the client has gone
-                    gone.reset = True
-                    gone.scope.cancel()
+                cancelled = self.streams.get(event.stream_id or 0)
+                if cancelled is not None:  # cancelled by the client, which the decision module is notified of
+                    cancelled.reset = True
+                    cancelled.scope.cancel()
             case _:
                 pass
 
     async def greeted(self) -> None:
-        """Close a connection that does not begin as HTTP/2 does, in the time that a head may take; and one
-        that comes to a drained router and brings no call, sooner.
+        """Close a connection that sends no HTTP/2 preface within the time limit for a head.
+
+        A connection that reaches a draining router is sent GOAWAY earlier, unless it opens a stream.
         """
         if not self.front.accepting:
             await trio.sleep(limits.LATE_S)
             if not self.streams and not self.front.accepting:
-                self.go_away()
+                self.send_goaway()
         await trio.sleep(limits.HEAD_S)
         if not self.spoken:
             self.scope.cancel()
 
     async def keep_alive(self) -> None:
-        """Ping a quiet client: one on a poor link may be gone without a word."""
+        """Ping a silent client, which may have failed without closing the connection, and end an idle one."""
         interval = self.front.settings.keepalive_s
         idle_since = trio.current_time()
         while True:
@@ -185,22 +191,22 @@
             if self.streams:
                 idle_since = trio.current_time()
             elif trio.current_time() - idle_since >= IDLE_S:
-                self.go_away()
-                self.ending.set()
-            if trio.current_time() - self.heard_at < interval:
+                self.send_goaway()
+                self.should_close.set()
+            if trio.current_time() - self.last_received_at < interval:
                 continue
-            asked_at = trio.current_time()
+            pinged_at = trio.current_time()
             self.wire.h2.ping(b"sorrel!!")
             await self.wire.flush()
             await trio.sleep(min(PING_S, interval))
-            if self.heard_at < asked_at:
-                raise ConnectionLost("no answer to a ping")
-
-    def go_away(self) -> None:
-        """Say that nothing new is taken; the open streams end by themselves."""
-        last = 2**31 - 1 if self.front.accepting else self.wire.h2.highest_inbound_stream_id
-        notice = GoAwayFrame(0, last_stream_id=last, error_code=0)
-        self.going, self.gone = True, not self.front.accepting
-        self.wire.queue_frame(notice.serialize())
+            if self.last_received_at < pinged_at:
+                raise ConnectionLost("no reply to a ping")
+
+    def send_goaway(self) -> None:
+        """Send GOAWAY: no new streams are accepted, and the open ones may complete."""
+        last_stream_id = 2**31 - 1 if self.front.accepting else self.wire.h2.highest_inbound_stream_id
+        goaway = GoAwayFrame(0, last_stream_id=last_stream_id, error_code=0)
+        self.goaway_sent, self.final_goaway_sent = True, not self.front.accepting
+        self.wire.queue_frame(goaway.serialize())
         if not self.streams and not self.front.accepting:
-            self.ending.set()
+            self.should_close.set()
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -1,4 +1,4 @@
-"""The second front: KServe v2 over gRPC. Each stream carries one RPC, or one after the other."""
+"""The front for KServe v2 over gRPC. Each stream carries one RPC, or several one after the other."""
 
 from __future__ import annotations
 
@@ -40,12 +40,13 @@
     def attend(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
-    def known_model(self, name: str) -> None:
+    def check_model(self, name: str) -> None:
+        """Raise GrpcError unless the model is configured."""
         if name not in self.settings.models:
             raise GrpcError(Code.NOT_FOUND, f"unknown model {name[:100]}")
 
-    def local(self, method: str, message: bytes) -> Message:
-        """The answers that need no engine."""
+    def answer_locally(self, method: str, message: bytes) -> Message:
+        """Return the answer to a method that needs no server; raise GrpcError if there is none."""
         match method:
             case "ServerLive":
                 parse(pb.ServerLiveRequest(), message)
@@ -58,26 +59,26 @@
                 return pb.ServerMetadataResponse(name="sorreldock", version=self.version)
             case "ModelReady":
                 request = parse(pb.ModelReadyRequest(), message)
-                self.known_model(request.name)
+                self.check_model(request.name)
                 return pb.ModelReadyResponse(ready=self.is_ready())
             case _:
                 raise GrpcError(Code.UNIMPLEMENTED, f"{method[:100]} is not served here")
 
     async def linger(self) -> None:
-        self._tell_going()
+        self._send_goaways()
 
     async def drain(self) -> None:
         self.accepting = False
-        self._tell_going()
+        self._send_goaways()
 
     def resume(self) -> None:
         self.accepting = True
 
-    def _tell_going(self) -> None:
-        """GOAWAY to all: first while still accepting, then for good."""
+    def _send_goaways(self) -> None:
+        """Send GOAWAY on all connections: a first one while still accepting, then the final one."""
         for client in list(self.clients):
-            client.go_away()
+            client.send_goaway()
             try:
-                client.wire.queue_output()  # one that reads nothing must not keep the others waiting
+                client.wire.queue_output()  # don't wait for a client that reads nothing
             except ConnectionLost:
                 client.scope.cancel()
