--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -1,4 +1,4 @@
-"""Call attempts and probes at an engine that speaks KServe v2 over gRPC: one stream a connection."""
+"""Attempts and probes on servers that speak KServe v2 over gRPC, with one stream at a time per connection."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 from .grpc import H2Wire
 from .metadata import HOP_METADATA, KservePayload
 
-LOAD = HEADER.lower()
-# The request is at fault, not the engine: another would say the same, so the client gets this word as it is.
-VERDICTS = (Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.FAILED_PRECONDITION, Code.UNIMPLEMENTED)
+LOAD_METADATA = HEADER.lower()
+# The request is invalid: any other server would return the same status, so it is forwarded to the client.
+REQUEST_ERRORS = (Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.FAILED_PRECONDITION, Code.UNIMPLEMENTED)
 
 
 @contextmanager
-def faults() -> Iterator[None]:
-    """What h2, our framing and protobuf object to is the engine's fault."""
+def translate_errors() -> Iterator[None]:
+    """Raise errors of h2, the message framing and protobuf as protocol errors of the server."""
     try:
         yield
     except (h2.exceptions.ProtocolError, GrpcError, DecodeError) as error:
@@ -51,7 +51,7 @@
 
 
 class Exchange:
-    """One stream, from its request to its trailers."""
+    """One stream to a server, from its request to its trailers."""
 
     def __init__(self, line: EngineLine, number: int) -> None:
         self.line = line
@@ -62,30 +62,31 @@
         self.ended = False
 
     async def step(self) -> None:
-        """Read once from the connection, and take what arrived."""
+        """Read once from the connection and handle the events that arrived."""
         events = await self.line.wire.receive()
         if events is None:
-            raise ConnectionLost("closed by the engine")
+            raise ConnectionLost("closed by the server")
         for event in events:
-            self.take(event)
-        # What goes out here answers settings and gives room back. Guards an answer that came whole, or an
-        # event, right before the engine closed: the next read tells of the end, behind what has arrived.
+            self.handle_event(event)
+        # This sends SETTINGS acknowledgements and window updates. A failure is ignored, so that no answer or
+        # event is lost that arrived right before the server closed: the next read reports the close.
         with suppress(ConnectionLost):
             await self.line.wire.flush()
 
-    def take(self, event: h2.events.Event | GoAway) -> None:
+    def handle_event(self, event: h2.events.Event | GoAway) -> None:
         match event:
             case GoAway(last_stream_id, error):
-                self.line.going = True
+                self.line.goaway_received = True
                 if last_stream_id < self.number:
-                    raise NeverTaken("left out by a GOAWAY")
+                    raise NeverTaken("excluded by a GOAWAY")
                 if error:
                     raise ConnectionLost(f"GOAWAY with error {error}")
             case _ if getattr(event, "stream_id", None) != self.number:
                 pass
             case h2.events.ResponseReceived():
                 self.headers = {str(k): str(v) for k, v in event.headers or []}
-                self.trailers = [(str(k), str(v)) for k, v in event.headers or []]  # if trailers alone come
+                # The trailers, too, if it is a trailers-only response.
+                self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.TrailersReceived():
                 self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.DataReceived():
@@ -100,52 +101,55 @@
                     raise ConnectionLost(f"stream reset with error {event.error_code}")
 
     async def send(self, data: bytes) -> None:
-        """The request, as the engine gives room for it; an answer that comes before its end stops it."""
+        """Send the request as flow control allows; stop if the answer ends before the request is sent."""
         wire, view = self.line.wire, memoryview(data)
         while view and not self.ended:
-            room = wire.send_window(self.number)
-            if room > 0:
-                chunk = bytes(view[:room])
-                view = view[room:]
+            window = wire.send_window(self.number)
+            if window > 0:
+                chunk = bytes(view[:window])
+                view = view[window:]
                 wire.h2.send_data(self.number, chunk, end_stream=not view)
                 await wire.flush()
             else:
                 await wire.flush()
                 await self.step()
 
-    async def message(self, silence: trio.CancelScope | None = None) -> bytes | None:
-        """The answer's next message; None at its end. One that has begun to arrive gives the wait a limit."""
-        latest = silence.deadline if silence is not None else math.inf
+    async def next_message(self, silence: trio.CancelScope | None = None) -> bytes | None:
+        """Return the next message of the answer; None at its end.
+
+        Once part of a message has arrived, the rest must follow within a limit set on `silence`.
+        """
+        silence_deadline = silence.deadline if silence is not None else math.inf
         while True:
             message = self.deframer.next()
             if message is not None:
                 return message
             if self.ended:
                 if self.deframer.partial:
-                    raise ConnectionLost("the last message is cut off")
+                    raise ConnectionLost("the last message is incomplete")
                 return None
             if silence is not None and self.deframer.partial:
-                silence.deadline = min(latest, trio.current_time() + engine.OPENING_S)
+                silence.deadline = min(silence_deadline, trio.current_time() + engine.OPENING_S)
             await self.step()
 
     def status(self) -> tuple[int, str]:
         return status_of(dict(self.trailers))
 
     def load(self) -> dict[Metric, float]:
-        text = dict(self.trailers).get(LOAD) or self.headers.get(LOAD, "")
+        text = dict(self.trailers).get(LOAD_METADATA) or self.headers.get(LOAD_METADATA, "")
         return parse_load(text)
 
 
 class EngineLine:
-    """A connection to an engine, with its HTTP/2 state."""
+    """A connection to a server, with its HTTP/2 state."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
         self.wire = H2Wire(connection, client_side=True, max_streams=0)
-        self.going = False
+        self.goaway_received = False
 
     async def usable(self) -> bool:
-        """Take what came while the connection was idle: settings, pings, or the engine's farewell."""
+        """Handle what arrived while the connection was idle: SETTINGS, PING or GOAWAY."""
         try:
             while self.connection.readable:
                 events = await self.wire.receive()
@@ -153,12 +157,12 @@
                     return False
         except (ConnectionLost, h2.exceptions.ProtocolError):
             return False
-        return not self.going
+        return not self.goaway_received
 
     def renew(self) -> bool:
-        return not self.going and not self.connection.unread
+        return not self.goaway_received and not self.connection.unread
 
-    def open(self, method: str, authority: str, timeout_s: float, metadata: Headers) -> Exchange:
+    def open_exchange(self, method: str, authority: str, timeout_s: float, metadata: Headers) -> Exchange:
         number = self.wire.h2.get_next_available_stream_id()
         headers = [
             (":method", "POST"),
@@ -175,7 +179,7 @@
 
 
 class KserveEngineClient(PooledEngineClient[EngineLine, Exchange]):
-    """Call attempts and probes at one engine over gRPC."""
+    """Attempts and probes on one server over gRPC."""
 
     def __init__(
         self,
@@ -191,47 +195,50 @@
     async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
-        with faults():
-            exchange = line.open(payload.method, self._address, progress.wait_s(), payload.metadata)
+        with translate_errors():
+            exchange = line.open_exchange(payload.method, self._address, progress.wait_s(), payload.metadata)
             await exchange.send(frame(payload.message))
         return exchange
 
     async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
-        started = False
+        has_started = False
         while True:
-            with trio.move_on_after(engine.SILENCE_S if started else math.inf) as silence, faults():
-                message = await exchange.message(silence)
+            with (
+                trio.move_on_after(engine.SILENCE_S if has_started else math.inf) as silence,
+                translate_errors(),
+            ):
+                message = await exchange.next_message(silence)
             if silence.cancelled_caught:
-                raise ConnectionLost("silent within a stream")
+                raise ConnectionLost("the server was silent within a stream")
             if message is None:
-                return self._ending(exchange, started)
-            started = True
+                return self._result_of(exchange, has_started)
+            has_started = True
             await progress.event(message)
 
     @staticmethod
-    def _ending(exchange: Exchange, started: bool) -> Report:
+    def _result_of(exchange: Exchange, has_started: bool) -> Report:
         code, text = exchange.status()
         load = exchange.load()
-        names = dict(exchange.trailers)
+        fields = dict(exchange.trailers)
         metadata = [
             (k, v)
             for k, v in exchange.trailers
-            if not HOP_METADATA.match(k) and k not in (LOAD, "x-never-ran")
+            if not HOP_METADATA.match(k) and k not in (LOAD_METADATA, "x-never-ran")
         ]
         if code == Code.OK:
             return Report(Status.OK, load, verdict=GrpcError(Code.OK, text, metadata))
-        if not started and code in VERDICTS:
+        if not has_started and code in REQUEST_ERRORS:
             return Report(Status.OK, load, verdict=GrpcError(code, text, metadata))
-        if not started and names.get("x-never-ran") == "1":
+        if not has_started and fields.get("x-never-ran") == "1":
             return Report(Status.FULL, load, note=f"grpc-status {code}")
         return Report(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
     async def ask_load(self, line: EngineLine) -> Report:
-        with faults():
-            exchange = line.open("ServerReady", self._address, engine.PROBE_S, [])
+        with translate_errors():
+            exchange = line.open_exchange("ServerReady", self._address, engine.PROBE_S, [])
             await exchange.send(frame(b""))
-            message = await exchange.message()
-            while await exchange.message() is not None:
+            message = await exchange.next_message()
+            while await exchange.next_message() is not None:
                 pass
             ready = pb.ServerReadyResponse.FromString(message or b"").ready
         return Report(Status.OK if ready else Status.FULL, exchange.load())
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -39,9 +39,8 @@
         self.last_received_at = trio.current_time()
         self.idle_since = self.last_received_at
         self.spoken = False
-        self.goaway_sent = self.final_goaway_sent = self.has_protocol_error = (
-            False  # the first, the final GOAWAY was sent
-        )
+        # The final GOAWAY follows a first one once no more streams are accepted.
+        self.goaway_sent = self.final_goaway_sent = self.has_protocol_error = False
         self.should_close = trio.Event()
 
     def close_if_idle(self) -> bool:
@@ -76,9 +75,8 @@
         """Remove a stream that has ended, and close the connection if it was the last after GOAWAY."""
         self.streams.pop(stream.number, None)
         stream.release_payload()
-        if (
-            stream.unacknowledged_bytes
-        ):  # unread data must not reduce the connection's window for other streams
+        # Unread data must not reduce the connection's flow-control window for other streams.
+        if stream.unacknowledged_bytes:
             self.wire.acknowledge(stream.number, stream.unacknowledged_bytes)
         if not self.streams:
             self.idle_since = trio.current_time()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -394,7 +394,7 @@
 
 async def steps_and_fails(self: Exchange) -> None:
     for event in await self.line.wire.receive() or ():
-        self.take(event)
+        self.handle_event(event)
     await self.line.wire.flush()
 
 
