--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -1,4 +1,4 @@
-"""Scripted gRPC peers: a client, and an engine that speaks the platform's protocol and gRPC on one port."""
+"""Scripted gRPC peers: a client, and a server for the platform's protocol and gRPC on one port."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @dataclass
 class Stream:
-    """One stream, at either end."""
+    """One stream of a connection, on the client or the server side."""
 
     end: End
     number: int
@@ -69,7 +69,7 @@
             await self.end.changed.wait()
 
     def refused(self) -> bool:
-        """Whether the other side takes no more, since it has answered in full already."""
+        """Return whether the other side receives no more, because it has answered in full already."""
         return self.reset is not None or (self.end.client and self.ended)
 
     def over(self) -> bool:
@@ -95,7 +95,7 @@
         await self.end.flush()
 
     async def finish(self, code: int, **metadata: str) -> None:
-        """The trailers; alone if nothing was started."""
+        """Send the trailers, as a trailers-only response if the answer wasn't started."""
         fields = [("grpc-status", str(code)), *((k.replace("_", "-"), v) for k, v in metadata.items())]
         if not self.end.h2.streams[self.number].state_machine.headers_sent:
             fields = [(":status", "200"), ("content-type", "application/grpc"), *fields]
@@ -103,7 +103,7 @@
         await self.end.flush()
 
     async def answer(self) -> tuple[int, list[bytes]]:
-        """The status and the messages; -1 for a stream that was reset or whose connection closed."""
+        """Return the status and the messages; -1 for a stream that was reset or whose connection closed."""
         await self.until(lambda: False)
         fields = self.trailers or self.headers
         whole = self.ended and "grpc-status" in fields
@@ -115,44 +115,43 @@
 
 
 class End:
-    """One end of an HTTP/2 connection."""
+    """One side of an HTTP/2 connection."""
 
-    def __init__(self, stream: trio.abc.Stream, client: bool, hungry: bool = True) -> None:
+    def __init__(self, stream: trio.abc.Stream, client: bool, acknowledges_data: bool = True) -> None:
         self.stream = stream
         self.client = client
         self.h2 = h2.connection.H2Connection(
             h2.config.H2Configuration(client_side=client, header_encoding="utf-8")
         )
-        self.hungry = hungry  # gives room again for what it reads
+        self.acknowledges_data = acknowledges_data  # sends window updates for the data it reads
         self.streams: dict[int, Stream] = {}
         self.changed = trio.Event()
-        self.turn = trio.Lock()
+        self.send_lock = trio.Lock()
         self.goaway_filter = GoAwayFilter(preface=not client)
-        self.closed = self.going = False
+        self.closed = self.goaway_received = False
         self.h2.initiate_connection()
 
     async def flush(self) -> None:
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            async with self.turn:
+            async with self.send_lock:
                 await self.stream.send_all(self.h2.data_to_send())
 
     async def read(self, on_request: Callable[[Stream], None] | None = None) -> None:
         await self.flush()
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, h2.exceptions.ProtocolError):
             while data := await self.stream.receive_some(65536):
-                rest, goaways = self.goaway_filter.strip(
-                    data
-                )  # h2 itself would take the connection for closed
-                self.going = self.going or bool(goaways)
+                # h2 itself would treat the connection as closed.
+                rest, goaways = self.goaway_filter.strip(data)
+                self.goaway_received = self.goaway_received or bool(goaways)
                 for event in self.h2.receive_data(rest):
-                    self.take(event, on_request)
+                    self.handle_event(event, on_request)
                 await self.flush()
                 self.changed.set()
                 self.changed = trio.Event()
         self.closed = True
         self.changed.set()
 
-    def take(self, event: Any, on_request: Callable[[Stream], None] | None) -> None:
+    def handle_event(self, event: Any, on_request: Callable[[Stream], None] | None) -> None:
         if isinstance(event, h2.events.RequestReceived):
             self.streams[event.stream_id] = Stream(self, event.stream_id, dict(event.headers))
         stream = self.streams.get(getattr(event, "stream_id", None) or 0)
@@ -165,7 +164,7 @@
                 stream.trailers = dict(event.headers)
             case h2.events.DataReceived():
                 stream.data += event.data
-                if self.hungry and event.flow_controlled_length:
+                if self.acknowledges_data and event.flow_controlled_length:
                     self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             case h2.events.StreamReset():
                 stream.reset = event.error_code
@@ -182,7 +181,7 @@
 
 
 class SharedEngine(Engine):
-    """Both protocols on one port, told apart by HTTP/2's preface."""
+    """A scripted server for both protocols on one port, distinguished by the HTTP/2 preface."""
 
     def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
         super().__init__()
@@ -192,16 +191,16 @@
 
     async def attend(self, stream: trio.SocketStream) -> None:
         first = await stream.receive_some(3)
-        rest = Rest(first, stream)
+        rest = PrefixedStream(first, stream)
         if first != b"PRI":
             await super().attend(rest)
             return
         end = End(rest, client=False)
         async with trio.open_nursery() as nursery:
-            await end.read(lambda call: nursery.start_soon(self._follow, call))
+            await end.read(lambda call: nursery.start_soon(self._run_script, call))
             nursery.cancel_scope.cancel()
 
-    async def _follow(self, call: Stream) -> None:
+    async def _run_script(self, call: Stream) -> None:
         self.grpc_calls.append(call)
         self.out += 1
         self.most_out = max(self.most_out, self.out)
@@ -211,20 +210,20 @@
             self.out -= 1
 
 
-class Rest:
-    """A stream of which the first bytes have been read."""
+class PrefixedStream:
+    """A stream whose first bytes have been read already."""
 
     def __init__(self, first: bytes, stream: trio.SocketStream) -> None:
-        self.first, self.stream = first, stream
+        self.prefix, self.stream = first, stream
         self.send_all, self.aclose = stream.send_all, stream.aclose
 
-    async def receive_some(self, most: int) -> bytes:
-        first, self.first = self.first, b""
-        return first or await self.stream.receive_some(most)
+    async def receive_some(self, max_bytes: int) -> bytes:
+        first, self.prefix = self.prefix, b""
+        return first or await self.stream.receive_some(max_bytes)
 
 
 class Client:
-    """A gRPC client's connection."""
+    """A gRPC client with one connection."""
 
     def __init__(self, end: End) -> None:
         self.end = end
@@ -255,10 +254,12 @@
 
 
 @asynccontextmanager
-async def grpc_client(router: Router, hungry: bool = True, reads: bool = True) -> AsyncIterator[Client]:
+async def grpc_client(
+    router: Router, acknowledges_data: bool = True, reads: bool = True
+) -> AsyncIterator[Client]:
     host, port = router.program.addresses["kserve"].rsplit(":", 1)
     stream = await trio.open_tcp_stream(host, int(port))
-    end = End(stream, client=True, hungry=hungry)
+    end = End(stream, client=True, acknowledges_data=acknowledges_data)
     async with stream, trio.open_nursery() as nursery:
         if reads:
             nursery.start_soon(end.read)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""A crowd at the door: who makes room, as a decision and over loopback."""
+"""Evictions when there are more client connections than descriptors: the decision, and over loopback."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A client connection as the queue sees it."""
+    """The properties of a client connection that the decision uses."""
 
     stage: Stage
     since: float
@@ -34,38 +34,40 @@
 
 
 @given(CANDIDATES, st.integers(1, 8))
-def test_no_taken_request_goes_and_the_first_to_go_has_used_up_most(
-    candidates: list[Candidate], most: int
+def test_no_taken_request_is_evicted_and_the_first_eviction_ranks_highest(
+    candidates: list[Candidate], max_count: int
 ) -> None:
     now = 10.0
-    going = select_evictions(candidates, now, most)
+    evicted = select_evictions(candidates, now, max_count)
     others = [
         g for g in candidates if g.stage is not Stage.TAKEN and now - g.since >= admission.MIN_STAGE_AGE_S
     ]
-    assert len(going) <= most and bool(going) == bool(others)
-    assert all(g in others for g in going)
-    parts = [timeout_fraction(g, now) for g in going]
-    assert parts == sorted(parts, reverse=True) and all(part >= 1.0 for part in parts[1:])
-    if going:
-        assert parts[0] == max(timeout_fraction(g, now) for g in others)
+    assert len(evicted) <= max_count and bool(evicted) == bool(others)
+    assert all(g in others for g in evicted)
+    fractions = [timeout_fraction(g, now) for g in evicted]
+    assert fractions == sorted(fractions, reverse=True) and all(fraction >= 1.0 for fraction in fractions[1:])
+    if evicted:
+        assert fractions[0] == max(timeout_fraction(g, now) for g in others)
 
 
 @given(CANDIDATES, st.integers(1, 8), st.data())
-def test_the_queue_tells_the_same_as_a_look_at_all(
-    candidates: list[Candidate], most: int, data: st.DataObject
+def test_the_queue_selects_the_same_as_ranking_all_connections(
+    candidates: list[Candidate], max_count: int, data: st.DataObject
 ) -> None:
     queue: EvictionQueue[Candidate] = EvictionQueue()
-    here = list(dict.fromkeys(sorted(candidates, key=lambda candidate: candidate.since)))
-    for candidate in here:
+    queued = list(dict.fromkeys(sorted(candidates, key=lambda candidate: candidate.since)))
+    for candidate in queued:
         queue.add(candidate)
-    for candidate in data.draw(st.lists(st.sampled_from(here), unique=True)) if here else []:
+    for candidate in data.draw(st.lists(st.sampled_from(queued), unique=True)) if queued else []:
         queue.remove(candidate)
-        here.remove(candidate)
-    told = [timeout_fraction(candidate, 10.0) for candidate in queue.select_evictions(10.0, most)]
-    assert told == [timeout_fraction(candidate, 10.0) for candidate in select_evictions(here, 10.0, most)]
+        queued.remove(candidate)
+    selected = [timeout_fraction(candidate, 10.0) for candidate in queue.select_evictions(10.0, max_count)]
+    assert selected == [
+        timeout_fraction(candidate, 10.0) for candidate in select_evictions(queued, 10.0, max_count)
+    ]
 
 
-def test_who_goes_before_whom() -> None:
+def test_the_order_of_evictions() -> None:
     now = 100.0
     slow, silent = Candidate(Stage.PARTIAL, now - 1.0), Candidate(Stage.SILENT, now - 0.4)
     idle = Candidate(Stage.IDLE, now - 1)
@@ -77,47 +79,47 @@
     candidates = [taken, fresh, slow, silent, idle, stopped]
     assert timeout_fraction(slow, now) < timeout_fraction(
         Candidate(Stage.IDLE, now - 0.1), now
-    )  # nothing is lost with the idle one
+    )  # closing the idle one loses nothing
     assert (
         timeout_fraction(Candidate(Stage.PARTIAL, now - STAGE_TIMEOUT_S[Stage.PARTIAL] + 0.01), now)
         < 1.0
         < timeout_fraction(stopped, now)
     )
     order = []
-    while gone := select_evictions(candidates, now, 1):
-        order += gone
-        candidates.remove(gone[0])
+    while evicted := select_evictions(candidates, now, 1):
+        order += evicted
+        candidates.remove(evicted[0])
     assert order == [stopped, silent, idle, slow]
 
 
-async def half_sent(router: Router, part: bytes) -> Wire:
+async def send_partial_request(router: Router, part: bytes) -> Wire:
     wire = await router.connect()
     await wire.stream.send_all(part)
     return wire
 
 
 @story
-async def test_half_sent_and_idle_connections_make_room_and_taken_requests_never() -> None:
+async def test_partial_and_idle_connections_are_evicted_and_taken_requests_never() -> None:
     finish, engine = trio.Event(), Engine()
     async with among(engine) as router:
         budget = router.program.budget
         taken = await streaming(router, engine, finish)
         budget.max_used[Use.CLIENT] = 12
-        crowd_of = [await half_sent(router, raw()[: 20 + k]) for k in range(9)]
+        partial_connections = [await send_partial_request(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
         await idle.stream.send_all(raw())
         while b"0\r\n\r\n" not in await idle.stream.receive_some(4096):
             pass
-        writer = await half_sent(router, raw()[:50])  # honest: it goes on, slowly
+        writer = await send_partial_request(router, raw()[:50])  # a legitimate client that continues slowly
         while budget.used[Use.CLIENT] < 12:
             await trio.sleep(0.005)
-        engine.script, newcomers = serve_until(finish), []
-        for number in range(9):  # each on a connection of its own, with a stream that goes on
-            newcomers.append(await router.start_post(x_trace_id=f"new-{number}"))
-            assert (await newcomers[-1].next()).status_code == 200
+        engine.script, new_streams = serve_until(finish), []
+        for number in range(9):  # each on its own connection, with an open stream
+            new_streams.append(await router.start_post(x_trace_id=f"new-{number}"))
+            assert (await new_streams[-1].next()).status_code == 200
             await writer.stream.send_all(raw()[50 + number : 51 + number])
-        closed = 0  # without a word, long before the head's time is over
-        for wire in crowd_of:
+        closed = 0  # without an answer, long before the time limit for a head
+        for wire in partial_connections:
             with trio.move_on_after(0.1):
                 try:
                     closed += await wire.stream.receive_some(99) == b""
@@ -132,18 +134,20 @@
 
 
 @story
-async def test_a_request_that_stopped_half_way_lets_go_of_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_stalled_partial_request_is_evicted_to_free_its_payload_bytes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with among(Engine()) as router:
         payloads = router.program.payloads
         payloads.max_used = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
-        stopped = await half_sent(router, head + b"\r\n\r\n" + b"x" * 59_000)
+        stopped = await send_partial_request(router, head + b"\r\n\r\n" + b"x" * 59_000)
         while payloads.used < 59_000:
             await trio.sleep(0.005)
-        await trio.sleep(2 * admission.MIN_STAGE_AGE_S)  # a part of the patience that it may use up
+        await trio.sleep(2 * admission.MIN_STAGE_AGE_S)  # long enough that it may be evicted
         large = await router.post(b"y" * 70_000, x_trace_id="large")
         assert large.whole and payloads.used <= 100_000
         assert await stopped.stream.receive_some(1) == b""
-        fresh = await half_sent(router, head.replace(b"t1", b"t2") + b"\r\n\r\n" + b"x" * 59_000)
-        await fresh.stream.send_all(b"x" * 1000)  # with room again, it is served
+        fresh = await send_partial_request(router, head.replace(b"t1", b"t2") + b"\r\n\r\n" + b"x" * 59_000)
+        await fresh.stream.send_all(b"x" * 1000)  # memory is available again, so it is served
         assert (await answer(fresh)).whole
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -1,4 +1,4 @@
-"""Stories of bad clients and bad engines, on both fronts."""
+"""Malformed, incomplete and stalled input from clients and servers, on both fronts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def raw(*extra: bytes, body: bytes = b"{}", length: bytes | None = None, **changes: bytes | None) -> bytes:
-    """A request as it is on the wire, with fields that h11 would not write."""
+    """Return the bytes of a request, with header fields that h11 would not write."""
     fields = {k.replace("_", "-").encode(): (v or "").encode() for k, v in FIELDS.items()}
     fields |= {k.replace("_", "-").encode(): v for k, v in changes.items()}  # type: ignore[misc]
     lines = [b"POST /v1/chat/completions HTTP/1.1", b"host: x"]
@@ -58,52 +58,54 @@
         raw(length=b"two"),
         raw(x_expires_in=b"99999999999m"),
         raw(x_expires_in=b"soon"),
-        raw(x_qos=b"nothing", length=b"99"),  # heard at once, though the body is short
+        raw(x_qos=b"nothing", length=b"99"),  # answered at once, although the body is incomplete
         raw(x_trace_id=None),
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" * 20,
         b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 10_000,
     ],
 )
 @story
-async def test_what_can_be_read_in_two_ways_or_none_is_answered_and_nothing_passes_on(sent: bytes) -> None:
+async def test_ambiguous_and_malformed_requests_get_an_error_and_are_not_forwarded(sent: bytes) -> None:
     engine = Engine()
     async with among(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(sent + raw(x_trace_id=b"behind"))
-        began = trio.current_time()
-        said = await all_of(wire.stream)
-        assert said.startswith(b"HTTP/1.1 4") and said.count(b"HTTP/1.1") == 1
-        assert trio.current_time() - began < 0.5
-        assert b"connection: close" in said.lower() and not engine.calls
+        started_at = trio.current_time()
+        received = await all_of(wire.stream)
+        assert received.startswith(b"HTTP/1.1 4") and received.count(b"HTTP/1.1") == 1
+        assert trio.current_time() - started_at < 0.5
+        assert b"connection: close" in received.lower() and not engine.calls
         await wire.stream.aclose()
 
 
 @story
-async def test_an_error_is_read_though_megabytes_are_still_coming() -> None:
+async def test_a_client_can_read_an_error_while_it_still_sends_megabytes() -> None:
     async with among(Engine()) as router:
         for head in (raw(body=b"", length=b"8000000"), raw(b"transfer-encoding: chunked", body=b"")):
             wire = await router.connect()
             if b"chunked" in head:
                 head = head.replace(b"content-length: 0\r\n", b"") + b"7a1200\r\n"
-            await wire.stream.send_all(head + b"x" * 8_000_000)  # all, and only then a look
+            await wire.stream.send_all(head + b"x" * 8_000_000)  # all of it before reading the answer
             assert b" 413 " in await all_of(wire.stream)
             await wire.stream.aclose()
 
 
 @pytest.mark.parametrize(
-    "begun", [b"", b"POST /v1/chat", raw(length=b"90"), raw(x_trace_id=None, length=b"90")]
+    "partial_request", [b"", b"POST /v1/chat", raw(length=b"90"), raw(x_trace_id=None, length=b"90")]
 )
 @story
-async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_connection_with_an_incomplete_request_is_closed(
+    partial_request: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
     async with among(Engine()) as router:
         wire = await router.connect()
-        if begun:
-            await wire.stream.send_all(begun)
+        if partial_request:
+            await wire.stream.send_all(partial_request)
         with trio.fail_after(2):
-            said = await all_of(wire.stream)
-        assert said.startswith(b"HTTP/1.1 40" if begun else b"")
+            received = await all_of(wire.stream)
+        assert received.startswith(b"HTTP/1.1 40" if partial_request else b"")
 
 
 @story
@@ -121,32 +123,32 @@
 
 
 @story
-async def test_the_id_of_an_open_request_is_refused_and_the_first_is_unharmed() -> None:
-    go_on = trio.Event()
+async def test_a_repeated_id_of_an_open_request_is_refused_and_the_first_request_continues() -> None:
+    resume = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def answer_slowly(call: Call) -> None:
         await call.start(EVENTS[0])
-        await go_on.wait()
+        await resume.wait()
         await call.more(*EVENTS[1:])
         await call.end()
 
-    engine = Engine(slowly)
+    engine = Engine(answer_slowly)
     async with among(engine) as router:
         first = await router.start_post()
         await first.next()
         assert (await router.post()).status == 409
-        go_on.set()
+        resume.set()
         assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(engine.calls) == 1
-        assert (await router.post()).whole  # a name is free again once its request is over
+        assert (await router.post()).whole  # the id can be reused once its request has ended
 
 
 @story
-async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_connections_are_evicted_before_used_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission, "MIN_STAGE_AGE_S", 0.0)
     async with among(Engine()) as router:
-        usual = await router.connect()
-        await usual.stream.send_all(raw())
-        while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
+        used = await router.connect()
+        await used.stream.send_all(raw())
+        while b"0\r\n\r\n" not in await used.stream.receive_some(4096):
             pass
         router.program.budget.max_used[Use.CLIENT] = 8
         silent = [await router.connect() for _ in range(7)]
@@ -154,52 +156,59 @@
             await trio.sleep(0.01)
         for _ in range(5):
             assert (await router.post()).whole
-        await usual.stream.send_all(raw())  # older than all of them, and still there
-        assert b"HTTP/1.1 200" in await usual.stream.receive_some(4096)
+        await used.stream.send_all(raw())  # older than all silent ones, and still open
+        assert b"HTTP/1.1 200" in await used.stream.receive_some(4096)
         for wire in silent:
             await wire.stream.aclose()
 
 
-# Engines.
+# Malformed answers of servers.
 
 
-async def noise(call: Call) -> None:
+async def send_noise(call: Call) -> None:
     await call.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
     await call.left()
 
 
-async def endless_head(call: Call) -> None:
+async def send_endless_head(call: Call) -> None:
     await call.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
     await call.left()
 
 
-async def endless_chunk(call: Call) -> None:
+async def send_endless_chunk(call: Call) -> None:
     await call.wire.stream.send_all(CHUNKED + b"B2D05E00\r\n")
     while True:
         await call.wire.stream.send_all(EVENTS[0] * 100)
 
 
-async def noise_for_events(call: Call) -> None:
+async def send_noise_as_events(call: Call) -> None:
     await call.start(b"\xff\x00noise\n\n" + EVENTS[0])
     await call.left()
 
 
-async def wrong_size(call: Call) -> None:
+async def send_wrong_chunk_size(call: Call) -> None:
     await call.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
     await call.left()
 
 
-async def no_size(call: Call) -> None:
+async def send_malformed_chunk_size(call: Call) -> None:
     await call.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
     await call.left()
 
 
-SPOILT = [noise, endless_head, endless_chunk, noise_for_events, wrong_size, no_size]
+MALFORMED_ANSWERS = [
+    send_noise,
+    send_endless_head,
+    send_endless_chunk,
+    send_noise_as_events,
+    send_wrong_chunk_size,
+    send_malformed_chunk_size,
+]
 
 
-@pytest.mark.parametrize("script", SPOILT)
+@pytest.mark.parametrize("script", MALFORMED_ANSWERS)
 @story
-async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
+async def test_an_answer_malformed_before_its_first_event_is_a_failed_attempt(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
@@ -207,29 +216,31 @@
     for engine in engines:
         engine.scripts = [script]
     async with among(*engines) as router:
-        seen = Recorder(router.program.core._gateway)
-        assert (await router.post()).status == 503  # both are spoilt: tried twice, and no more
-        assert [e.status for e in seen.of(AttemptEnded)] == [Status.RESET] * 2
+        recorder = Recorder(router.program.core._gateway)
+        assert (await router.post()).status == 503  # both answers are malformed: two attempts, no more
+        assert [e.status for e in recorder.of(AttemptEnded)] == [Status.RESET] * 2
         assert [len(engine.calls) for engine in engines] == [1, 1]
         assert (await router.post()).whole
 
 
-@pytest.mark.parametrize("script", [endless_chunk, wrong_size, no_size, noise_for_events])
+@pytest.mark.parametrize(
+    "script", [send_endless_chunk, send_wrong_chunk_size, send_malformed_chunk_size, send_noise_as_events]
+)
 @story
-async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
+async def test_a_stream_malformed_later_closes_the_clients_connection_without_the_last_chunk(
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.2)
 
-    async def well_begun(call: Call) -> None:
+    async def malformed_after_first_event(call: Call) -> None:
         await call.start(EVENTS[0])
         real = call.wire.stream
-        call.wire.stream = Behind(real)
-        call.wire.send = Behind(real).send  # type: ignore[method-assign]
+        call.wire.stream = StreamAfterHead(real)
+        call.wire.send = StreamAfterHead(real).send  # type: ignore[method-assign]
         await script(call)
 
-    class Behind:
-        """What a script writes after a head that has gone out already."""
+    class StreamAfterHead:
+        """A stream that omits the head, which has been sent already."""
 
         def __init__(self, stream: Any) -> None:
             self.stream, self.receive_some = stream, stream.receive_some
@@ -241,14 +252,14 @@
             for event in events[1:]:
                 await self.stream.send_all(b"%x\r\n%b\r\n" % (len(event.data), event.data))
 
-    async with among(Engine(well_begun)) as router:
+    async with among(Engine(malformed_after_first_event)) as router:
         got = await router.post()
     assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
 
 
 @story
-async def test_what_comes_behind_or_before_an_answer_harms_nothing() -> None:
-    async def more_than_asked(call: Call) -> None:
+async def test_unexpected_bytes_before_or_after_an_answer_are_ignored() -> None:
+    async def answer_with_extra_bytes(call: Call) -> None:
         body = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS) + b"0\r\n\r\n"
         informational = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n" * 3
         load = b"Endpoint-Load-Metrics: TEXT \xff\xfe=, queue=-4, errors_per_s=1e99\r\n\r\n"
@@ -256,7 +267,7 @@
         await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
         await call.left()
 
-    engine = Engine(more_than_asked)
+    engine = Engine(answer_with_extra_bytes)
     async with among(engine) as router:
         for _ in range(3):
             got = await router.post()
@@ -265,7 +276,7 @@
 
 
 @story
-async def test_a_request_at_fault_is_told_so_and_its_engine_stays_in_use() -> None:
+async def test_the_status_of_an_invalid_request_is_forwarded_and_its_server_stays_in_use() -> None:
     async def bad_request(call: Call) -> None:
         await call.answer(400, b"no messages")
 
@@ -278,7 +289,7 @@
         assert all(replica.strikes == 0 for replica in gateway.replicas.values())
 
 
-def test_events_are_cut_where_they_end_and_are_never_changed() -> None:
+def test_events_are_split_at_their_ends_and_never_changed() -> None:
     whole = b": hello\n\nevent: x\ndata: 1\n\ndata: 2\r\n\r\ndata: 3"
     for step in (1, 3, 7, 100):
         events, got = Events(), b""
@@ -289,17 +300,17 @@
         assert got + events.rest() == whole
 
 
-# The same over gRPC.
+# The same cases over gRPC.
 
 
 @story
-async def test_a_grpc_client_that_stops_halfway_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_incomplete_grpc_request_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
     async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
-        await all_of(silent)  # our greeting, and the end
+        await all_of(silent)  # the router's SETTINGS, then the end of the stream
         for method in ("ModelInfer", "ModelStreamInfer"):
             stream = await client.start(method, end=False)
             client.end.h2.send_data(stream.number, framed(grpc_request())[:9])
@@ -308,37 +319,37 @@
 
 
 @story
-async def test_a_grpc_id_that_is_open_and_metadata_given_twice_are_errors() -> None:
-    go_on = trio.Event()
+async def test_a_repeated_grpc_id_of_an_open_request_and_repeated_metadata_are_errors() -> None:
+    resume = trio.Event()
 
-    async def slowly(call: Stream) -> None:
+    async def answer_slowly(call: Stream) -> None:
         await call.start()
         await call.send(piece(1))
-        await go_on.wait()
+        await resume.wait()
         await call.finish(0)
 
-    engine = SharedEngine(slowly)
+    engine = SharedEngine(answer_slowly)
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         first = await client.start("ModelStreamInfer", grpc_request(), sorreldock_request_id="a")
         await first.messages(1)
         for fields, code in (
             ({"sorreldock_request_id": "a"}, Code.ALREADY_EXISTS),
-            ({"Sorreldock_class": "title-suggest"}, Code.INVALID_ARGUMENT),  # beside the one in lower case
+            ({"Sorreldock_class": "title-suggest"}, Code.INVALID_ARGUMENT),  # repeated in another case
         ):
             async with grpc_client(router) as other:
                 assert await other.call("ModelInfer", grpc_request(), **fields) == (code, [])
-        second = await client.start("ModelStreamInfer", grpc_request())  # the standard's id may come twice
+        second = await client.start("ModelStreamInfer", grpc_request())  # a message's id may be repeated
         await second.messages(1)
-        go_on.set()
+        resume.set()
         assert await first.answer() == await second.answer() == (0, [piece(1)])
     assert len(engine.grpc_calls) == 2
 
 
 @story
-async def test_a_grpc_message_that_never_ends_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_incomplete_grpc_message_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
 
-    async def cut(call: Stream) -> None:
+    async def send_incomplete_message(call: Stream) -> None:
         await call.start()
         call.end.h2.send_data(call.number, framed(piece(1))[:-1])
         await call.end.flush()
@@ -346,7 +357,7 @@
 
     engines = [SharedEngine(), SharedEngine()]
     for engine in engines:
-        engine.grpc_scripts = [cut]
+        engine.grpc_scripts = [send_incomplete_message]
     async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", grpc_request()))[0] == 0
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -1,4 +1,4 @@
-"""Stories of the second front: KServe v2 over gRPC, on the core that serves HTTP as well."""
+"""The front for KServe v2 over gRPC, on the core that serves HTTP as well."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from sorreldock.transport.connection import Connection
 
 
-async def turn_away(call: Stream) -> None:
+async def refuse_unprocessed(call: Stream) -> None:
     await call.finish(Code.UNAVAILABLE, x_never_ran="1")
 
 
@@ -33,37 +33,37 @@
     await call.until(lambda: call.end.closed)
 
 
-async def begin_and_close(call: Stream) -> None:
+async def start_and_close(call: Stream) -> None:
     await call.start()
     await call.send(piece(1))
     await call.end.stream.aclose()
 
 
-async def begin_and_hang(call: Stream) -> None:
+async def start_and_hang(call: Stream) -> None:
     await call.start()
     await call.send(piece(1))
     await call.until(lambda: call.end.closed)
 
 
 @story
-async def test_both_protocols_share_engines_and_each_rpc_gets_one_final_answer() -> None:
+async def test_both_protocols_share_servers_and_each_rpc_gets_one_final_answer() -> None:
     engines = [SharedEngine() for _ in range(3)]
     for engine in engines:
-        engine.grpc_scripts = [turn_away, fail]
+        engine.grpc_scripts = [refuse_unprocessed, fail]
         engine.scripts = []
     statuses: Counter[str] = Counter()
     async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
-            got = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
-            assert got.whole
-            statuses[f"http {got.status}"] += 1
+            received = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
+            assert received.whole
+            statuses[f"http {received.status}"] += 1
 
         async def kserve(number: int) -> None:
-            code, got = await client.call(
+            code, received = await client.call(
                 "ModelStreamInfer", request(name=f"g{number}"), sorreldock_session=f"s{number}"
             )
-            assert got == ([piece(1), piece(2)] if code == 0 else [])
+            assert received == ([piece(1), piece(2)] if code == 0 else [])
             statuses[f"grpc {code}"] += 1
 
         async with trio.open_nursery() as nursery:
@@ -78,7 +78,7 @@
 
 
 @story
-async def test_a_request_goes_on_untranslated() -> None:
+async def test_a_request_is_forwarded_unchanged() -> None:
     async def with_metadata(call: Stream) -> None:
         await call.start()
         await call.send(piece(1))
@@ -90,14 +90,14 @@
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
     [call] = engine.grpc_calls
-    assert stream.trailers == {"grpc-status": "0", "cost": "7"}  # without what is meant for the router
+    assert stream.trailers == {"grpc-status": "0", "cost": "7"}  # the load report is for the router only
     assert code == 0 and call.data[5:] == message and call.headers["my-own"] == "kept"
     assert call.headers[":path"].endswith("/ModelInfer") and "sorreldock-class" not in call.headers
     assert 1e6 < int(call.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
 
 
 @story
-async def test_a_stream_carries_one_request_after_the_other() -> None:
+async def test_a_stream_carries_several_requests_in_sequence() -> None:
     async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
@@ -108,13 +108,13 @@
 @pytest.mark.parametrize(
     "script, code, count",
     [
-        (turn_away, Code.UNAVAILABLE, 0),
-        (fail, Code.UNAVAILABLE, 0),  # of a class that may be repeated: the module refuses
-        (begin_and_close, Code.INTERNAL, 1),
+        (refuse_unprocessed, Code.UNAVAILABLE, 0),
+        (fail, Code.UNAVAILABLE, 0),  # the class may be retried: the decision module refuses
+        (start_and_close, Code.INTERNAL, 1),
     ],
 )
 @story
-async def test_how_an_engines_failure_is_told(script: object, code: Code, count: int) -> None:
+async def test_the_status_after_a_servers_failure(script: object, code: Code, count: int) -> None:
     engine = SharedEngine(script)  # type: ignore[arg-type]
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
@@ -137,7 +137,7 @@
 
 
 @story
-async def test_what_is_wrong_with_a_call_is_said() -> None:
+async def test_each_invalid_request_gets_its_status() -> None:
     async def unknown_tensor(call: Stream) -> None:
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
@@ -157,35 +157,33 @@
         ):
             assert await client.call(method, message, **fields) == (code, []), (method, fields)
         assert not engine.grpc_calls
-        stream = await client.start(
-            "ModelInfer", request()
-        )  # an engine's own verdict: passed on, not retried
+        stream = await client.start("ModelInfer", request())  # a server's status: forwarded, not retried
         assert await stream.answer() == (Code.INVALID_ARGUMENT, [])
         assert stream.headers["grpc-message"] == "no such tensor" and len(engine.grpc_calls) == 1
 
 
 @story
-async def test_the_deadline_runs_until_the_first_message_and_no_longer() -> None:
-    async def late(call: Stream) -> None:
+async def test_the_deadline_applies_until_the_first_message_only() -> None:
+    async def answer_slowly(call: Stream) -> None:
         await call.start()
         await call.send(piece(1))
-        await trio.sleep(0.3)  # longer than the deadline that no longer runs
+        await trio.sleep(0.3)  # longer than the deadline, which no longer applies
         await call.send(piece(2))
         await call.finish(0)
 
-    engine = SharedEngine(late)
+    engine = SharedEngine(answer_slowly)
     engine.grpc_scripts = [hang]
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
-        began = trio.current_time()
+        started_at = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
-        assert trio.current_time() - began < 1.0  # not the 4 s of its class
+        assert trio.current_time() - started_at < 1.0  # and not the deadline of 4 s of its class
         assert (await client.call("ModelStreamInfer", request(), grpc_timeout="250m"))[0] == 0
 
 
 @story
-async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_cancellation_within_a_stream_reaches_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
-    engine = SharedEngine(begin_and_hang)
+    engine = SharedEngine(start_and_hang)
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
@@ -195,13 +193,13 @@
         while router.program.core.open:
             await trio.sleep(0.005)
         engine.grpc_script = serve_well
-        assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
+        assert (await client.call("ModelInfer", request()))[0] == 0  # the connection stays open
 
 
 @story
-async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_closing_a_client_connection_cancels_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
-    engine = SharedEngine(begin_and_hang)
+    engine = SharedEngine(start_and_hang)
     async with among(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
@@ -209,17 +207,19 @@
 
 
 @story
-async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_server_that_stops_sending_within_a_stream_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
     async with (
-        among(SharedEngine(begin_and_hang), operator=BOTH) as router,
+        among(SharedEngine(start_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
 
 
 @story
-async def test_a_slow_reader_slows_its_engine_alone() -> None:
+async def test_a_slow_client_slows_only_its_own_stream() -> None:
     sent = 0
     big = pb.ModelStreamInferResponse(error_message="x" * 50_000).SerializeToString()
 
@@ -231,17 +231,17 @@
         await call.finish(0)
 
     engine = SharedEngine(flood)
-    async with among(engine, operator=BOTH) as router, grpc_client(router, hungry=False) as slow:
+    async with among(engine, operator=BOTH) as router, grpc_client(router, acknowledges_data=False) as slow:
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
-        assert 0 < sent < 20  # a window or two, and the buffers between
+        assert 0 < sent < 20  # one or two windows, and the buffers in between
         engine.grpc_script = serve_well
         async with grpc_client(router) as other:
             assert (await other.call("ModelInfer", request()))[0] == 0
 
 
 @story
-async def test_engine_connections_are_kept_and_a_farewell_is_heeded() -> None:
+async def test_server_connections_are_reused_until_goaway() -> None:
     engine = SharedEngine()
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(3):
@@ -255,18 +255,18 @@
 
 
 @story
-async def test_an_engine_that_says_goaway_in_mid_stream_finishes_it() -> None:
-    async def farewell(call: Stream) -> None:
+async def test_a_server_completes_a_stream_after_goaway() -> None:
+    async def send_goaway_within_stream(call: Stream) -> None:
         await call.start()
         await call.send(piece(1))
-        notice = GoAwayFrame(0, last_stream_id=call.number).serialize()
-        await call.end.stream.send_all(notice[:7])  # in two halves, as a network may deliver it
-        await call.end.stream.send_all(notice[7:])
+        goaway = GoAwayFrame(0, last_stream_id=call.number).serialize()
+        await call.end.stream.send_all(goaway[:7])  # split, as a network may deliver it
+        await call.end.stream.send_all(goaway[7:])
         await call.send(piece(2))
         await call.finish(0)
 
     engine = SharedEngine()
-    engine.grpc_scripts = [farewell]
+    engine.grpc_scripts = [send_goaway_within_stream]
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(2):
             assert await client.call("ModelStreamInfer", request()) == (0, [piece(1), piece(2)])
@@ -274,7 +274,7 @@
 
 
 @story
-async def test_a_refused_stream_never_ran_and_is_tried_elsewhere() -> None:
+async def test_a_refused_stream_was_not_processed_and_is_retried_elsewhere() -> None:
     async def refuse(call: Stream) -> None:
         call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
         await call.end.flush()
@@ -289,7 +289,7 @@
 
 
 @story
-async def test_a_client_that_answers_no_ping_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_that_answers_no_ping_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH.__class__(
         kserve=BOTH.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
@@ -301,56 +301,56 @@
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
         while await stream.receive_some(4096):
-            pass  # it closes: we answer nothing
+            pass  # until the router closes, since no PING is answered
 
 
 @story
-async def test_a_stream_cancelled_while_it_waits_to_write_garbles_nothing() -> None:
-    ours, theirs = trio.socket.socketpair()
-    wire = FrontWire(Connection(ours, lambda: None), 1)
+async def test_cancelling_a_stream_that_waits_to_write_corrupts_no_frame() -> None:
+    router_end, client_end = trio.socket.socketpair()
+    wire = FrontWire(Connection(router_end, lambda: None), 1)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wire.run_writer)
-        start = wire.take_output()
+        preface = wire.take_output()
         wire.queue_frame(b"x" * 5_000_000)
         nursery.start_soon(wire.flush)
         await trio.testing.wait_all_tasks_blocked()  # the peer's buffers are full
         wire.queue_frame(b"y" * 100_000)
         with trio.move_on_after(0) as scope:
             await wire.flush()
-        assert scope.cancelled_caught and start
+        assert scope.cancelled_caught and preface
         wire.queue_frame(b"z")
         nursery.start_soon(wire.flush)
-        got = b""
-        while not got.endswith(b"z"):
-            got += await theirs.recv(1 << 20)
-        assert got == b"x" * 5_000_000 + b"y" * 100_000 + b"z"
+        received = b""
+        while not received.endswith(b"z"):
+            received += await client_end.recv(1 << 20)
+        assert received == b"x" * 5_000_000 + b"y" * 100_000 + b"z"
         nursery.cancel_scope.cancel()
 
 
 @story
-async def test_goaway_and_the_end_of_open_streams_at_sigterm() -> None:
+async def test_sigterm_sends_goaway_and_open_streams_complete() -> None:
     finish = trio.Event()
 
-    async def slowly(call: Stream) -> None:
+    async def finish_later(call: Stream) -> None:
         await call.start()
         await call.send(piece(1))
         await finish.wait()
         await call.finish(0)
 
-    async with among(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(SharedEngine(finish_later), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         router.program.lifecycle.stop_asked.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
-        assert client.end.going
+        assert client.end.goaway_received
         finish.set()
         assert await stream.answer() == (0, [piece(1)])
 
 
 @story
-async def test_the_stock_client_is_served() -> None:
-    def talk(address: str) -> None:
+async def test_the_grpc_librarys_client_is_served() -> None:
+    def use_client(address: str) -> None:
         service = "/inference.GRPCInferenceService/"
         with grpc.insecure_channel(address) as channel:
 
@@ -375,19 +375,22 @@
                 request_serializer=lambda m: m.SerializeToString(),
                 response_deserializer=pb.ModelStreamInferResponse.FromString,
             )
-            asked = [pb.ModelInferRequest(model_name="desc", id="a"), pb.ModelInferRequest(model_name="desc")]
-            got = list(stream(iter(asked), timeout=5, metadata=list(METADATA.items())))
-            assert [m.infer_response.id for m in got] == ["1", "2", "1", "2"]
+            requests = [
+                pb.ModelInferRequest(model_name="desc", id="a"),
+                pb.ModelInferRequest(model_name="desc"),
+            ]
+            received = list(stream(iter(requests), timeout=5, metadata=list(METADATA.items())))
+            assert [m.infer_response.id for m in received] == ["1", "2", "1", "2"]
             infer = unary("ModelInfer", pb.ModelInferResponse)
             with pytest.raises(grpc.RpcError) as raised:
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
     async with among(SharedEngine(), operator=BOTH) as router:
-        await trio.to_thread.run_sync(talk, router.program.addresses["kserve"])
+        await trio.to_thread.run_sync(use_client, router.program.addresses["kserve"])
 
 
-def test_the_stand_ins_and_the_program_agree_with_the_standards_numbers() -> None:
+def test_the_messages_have_the_field_numbers_of_the_standard() -> None:
     fields = {
         message.name: {f.name: f.number for f in message.fields}
         for message in pb.DESCRIPTOR.message_types_by_name.values()
