--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -314,7 +314,7 @@
         client.end.h2.increment_flow_control_window(2**30)
         await client.start("ModelStreamInfer", grpc_request())
         [connection] = router.program.fronts["kserve"].clients
-        while len(connection.wire._pending) <= connection.wire.MOST_PENDING:
+        while len(connection.wire._pending) <= connection.wire.MAX_PENDING_BYTES:
             await trio.sleep(0.005)
         second = await client.start("ModelInfer", grpc_request(name="r2"))
         await taken.wait()
