--- a/sorreldock/transport/budget.py
+++ b/sorreldock/transport/budget.py
@@ -12,7 +12,7 @@
     """What a descriptor is used for: a client connection or a connection to a server."""
 
     CLIENT = "client"
-    ENGINE = "engine"
+    SERVER = "engine"
 
 
 class DescriptorBudget:
@@ -27,8 +27,8 @@
         self._extra_reserved = 0
         self._portion: int | None = None
         self.resize(limit)
-        self.used = {Use.CLIENT: 0, Use.ENGINE: 0}
-        self.eviction_callbacks: dict[Use, list[Callable[[], bool]]] = {Use.CLIENT: [], Use.ENGINE: []}
+        self.used = {Use.CLIENT: 0, Use.SERVER: 0}
+        self.eviction_callbacks: dict[Use, list[Callable[[], bool]]] = {Use.CLIENT: [], Use.SERVER: []}
         self._waiting = trio.lowlevel.ParkingLot()
 
     def reserve(self, count: int) -> None:
@@ -42,7 +42,7 @@
         usable = self.usable_in_total(0)
         if self._portion is not None:
             usable = min(usable, self._portion)
-        self.max_used = {Use.CLIENT: usable // 2, Use.ENGINE: usable - usable // 2}
+        self.max_used = {Use.CLIENT: usable // 2, Use.SERVER: usable - usable // 2}
 
     def usable_in_total(self, other_processes: int) -> int:
         """Return the sockets usable by this and the other processes together; each has the same reserve."""
@@ -56,7 +56,7 @@
         """
         if leaving and portion is not None:
             clients = self.used[Use.CLIENT]
-            self.max_used = {Use.CLIENT: clients, Use.ENGINE: max(portion - clients, 0)}
+            self.max_used = {Use.CLIENT: clients, Use.SERVER: max(portion - clients, 0)}
         elif portion != self._portion:
             self._portion = portion
             self.resize(self.limit)
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -54,7 +54,7 @@
         self._max_idle = max_idle
         self._min_idle_s = min_idle_s  # time after an attempt before a connection is reused
         self._idle: list[tuple[float, PooledT]] = []  # idle since, connection; used as a stack
-        budget.eviction_callbacks[Use.ENGINE].append(self.evict)
+        budget.eviction_callbacks[Use.SERVER].append(self.evict)
 
     async def get(self) -> PooledT:
         """Return an idle connection or open a new one.
@@ -66,9 +66,9 @@
             if trio.current_time() - since < self._reusable_s and await pooled.usable():
                 return pooled
             pooled.connection.close()
-        if not self._budget.acquire(Use.ENGINE):
+        if not self._budget.acquire(Use.SERVER):
             raise LocalShortage("no descriptor available")
-        on_close = lambda: self._budget.release(Use.ENGINE)  # noqa: E731
+        on_close = lambda: self._budget.release(Use.SERVER)  # noqa: E731
         return self._wrap(await self._dial(self.address, self._connect_timeout_s, on_close))
 
     def _pop_idle(self) -> tuple[float, PooledT] | None:
@@ -109,5 +109,5 @@
     def discard(self) -> None:
         """Close idle connections and unregister from the budget, when the subchannel is removed."""
         self.close_idle()
-        if self.evict in self._budget.eviction_callbacks[Use.ENGINE]:
-            self._budget.eviction_callbacks[Use.ENGINE].remove(self.evict)
+        if self.evict in self._budget.eviction_callbacks[Use.SERVER]:
+            self._budget.eviction_callbacks[Use.SERVER].remove(self.evict)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -199,27 +199,27 @@
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
         while router.program.core.open:
             await trio.sleep(0.005)
-        assert router.program.budget.used[Use.ENGINE] == 4
+        assert router.program.budget.used[Use.SERVER] == 4
 
 
 def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
     budget = DescriptorBudget(100)
-    held = sum(budget.acquire(Use.ENGINE) for _ in range(100))
+    held = sum(budget.acquire(Use.SERVER) for _ in range(100))
     assert held == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
-        budget.release(Use.ENGINE)
+        budget.release(Use.SERVER)
         return True
 
     robbed: list[int] = []
-    budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
-    assert all(budget.acquire(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
+    budget.eviction_callbacks[Use.SERVER] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
+    assert all(budget.acquire(Use.SERVER) for _ in range(2048)) and budget.used[Use.SERVER] == 42
     assert robbed == [*range(1024), *range(1024)]
     budget.set_portion(20)  # another process of this router has the rest
     budget.close_excess_idle()
-    assert budget.used[Use.ENGINE] == 10
+    assert budget.used[Use.SERVER] == 10
     budget.set_portion(None)
-    assert budget.max_used[Use.ENGINE] == 42
+    assert budget.max_used[Use.SERVER] == 42
 
 
 def test_the_budgets_follow_the_limits() -> None:
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -144,7 +144,7 @@
             await dial(address, 0.05, lambda: closed.append(True), NoDescriptors(1 << 30))
         assert len(closed) == 2
         budget = DescriptorBudget(364)
-        while budget.acquire(Use.ENGINE):
+        while budget.acquire(Use.SERVER):
             pass
         client = HttpEngineClient(address, budget, 1.0, 60.0, "/alive")
         assert (await client.probe()).status is Status.NOT_SENT
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -192,10 +192,10 @@
         assert leaves + handover.portion(usable, 0, False, held, True) <= usable
     assert handover.portion(usable, 0, False, 0, True) == usable - handover.LEAVERS_PART
     budget = DescriptorBudget(364)
-    assert all(budget.acquire(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
+    assert all(budget.acquire(use) for use in (Use.CLIENT, Use.SERVER) for _ in range(40))
     budget.set_portion(handover.portion(usable, 80, True, 0, False), leaving=True)
     assert not budget.acquire(Use.CLIENT)  # nobody new, but attempts of what it has taken
-    assert sum(budget.acquire(Use.ENGINE) for _ in range(100)) == handover.LEAVERS_PART
+    assert sum(budget.acquire(Use.SERVER) for _ in range(100)) == handover.LEAVERS_PART
 
 
 def target(state: ReplicaState, started_at: float = 0.0, uid: str = "e1") -> Target:
