--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 import trio
-from grpc_peers import BOTH, SharedEngine
+from grpc_peers import BOTH, DualProtocolServer
 from peers import Peer, among
 
 from sorreldock.client import Request
@@ -95,7 +95,7 @@
         raise box["error"]
 
 
-def router(engine: SharedEngine, **options: Any) -> AbstractAsyncContextManager[Any]:
+def router(engine: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
     """The real program before this engine, on both protocols."""
     return among(engine, operator=BOTH, **options)
 
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -56,7 +56,7 @@
 class Stream:
     """One stream of a connection, on the client or the server side."""
 
-    end: End
+    end: H2Endpoint
     number: int
     headers: dict[str, str] = field(default_factory=dict)
     data: bytes = b""
@@ -114,7 +114,7 @@
         return unframed(self.data)
 
 
-class End:
+class H2Endpoint:
     """One side of an HTTP/2 connection."""
 
     def __init__(self, stream: trio.abc.Stream, client: bool, acknowledges_data: bool = True) -> None:
@@ -180,14 +180,14 @@
     await call.finish(0)
 
 
-class SharedEngine(Engine):
+class DualProtocolServer(Engine):
     """A scripted server for both protocols on one port, distinguished by the HTTP/2 preface."""
 
     def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
         super().__init__()
         self.grpc_script = grpc_script
         self.grpc_scripts: list[Callable[[Stream], Awaitable[None]]] = []
-        self.grpc_calls: list[Stream] = []
+        self.grpc_streams: list[Stream] = []
 
     async def attend(self, stream: trio.SocketStream) -> None:
         first = await stream.receive_some(3)
@@ -195,13 +195,13 @@
         if first != b"PRI":
             await super().attend(rest)
             return
-        end = End(rest, client=False)
+        end = H2Endpoint(rest, client=False)
         async with trio.open_nursery() as nursery:
             await end.read(lambda call: nursery.start_soon(self._run_script, call))
             nursery.cancel_scope.cancel()
 
     async def _run_script(self, call: Stream) -> None:
-        self.grpc_calls.append(call)
+        self.grpc_streams.append(call)
         self.out += 1
         self.most_out = max(self.most_out, self.out)
         try:
@@ -225,7 +225,7 @@
 class Client:
     """A gRPC client with one connection."""
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: H2Endpoint) -> None:
         self.end = end
 
     async def start(self, method: str, *messages: bytes, end: bool = True, **fields: str) -> Stream:
@@ -259,7 +259,7 @@
 ) -> AsyncIterator[Client]:
     host, port = router.program.addresses["kserve"].rsplit(":", 1)
     stream = await trio.open_tcp_stream(host, int(port))
-    end = End(stream, client=True, acknowledges_data=acknowledges_data)
+    end = H2Endpoint(stream, client=True, acknowledges_data=acknowledges_data)
     async with stream, trio.open_nursery() as nursery:
         if reads:
             nursery.start_soon(end.read)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -100,10 +100,10 @@
 
 @story
 async def test_partial_and_idle_connections_are_evicted_and_taken_requests_never() -> None:
-    finish, engine = trio.Event(), Engine()
-    async with among(engine) as router:
+    finish, server = trio.Event(), Engine()
+    async with among(server) as router:
         budget = router.program.budget
-        taken = await streaming(router, engine, finish)
+        taken = await streaming(router, server, finish)
         budget.max_used[Use.CLIENT] = 12
         partial_connections = [await send_partial_request(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
@@ -113,7 +113,7 @@
         writer = await send_partial_request(router, raw()[:50])  # a legitimate client that continues slowly
         while budget.used[Use.CLIENT] < 12:
             await trio.sleep(0.005)
-        engine.script, new_streams = serve_until(finish), []
+        server.script, new_streams = serve_until(finish), []
         for number in range(9):  # each on its own connection, with an open stream
             new_streams.append(await router.start_post(x_trace_id=f"new-{number}"))
             assert (await new_streams[-1].next()).status_code == 200
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -7,7 +7,7 @@
 
 import pytest
 import trio
-from grpc_peers import BOTH, SharedEngine, Stream, framed, grpc_client, piece
+from grpc_peers import BOTH, DualProtocolServer, Stream, framed, grpc_client, piece
 from grpc_peers import request as grpc_request
 from peers import EVENTS, FIELDS, Call, Engine, among, request, story
 from test_parts import Recorder
@@ -66,15 +66,15 @@
 )
 @story
 async def test_ambiguous_and_malformed_requests_get_an_error_and_are_not_forwarded(sent: bytes) -> None:
-    engine = Engine()
-    async with among(engine) as router:
+    server = Engine()
+    async with among(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(sent + raw(x_trace_id=b"behind"))
         started_at = trio.current_time()
         received = await all_of(wire.stream)
         assert received.startswith(b"HTTP/1.1 4") and received.count(b"HTTP/1.1") == 1
         assert trio.current_time() - started_at < 0.5
-        assert b"connection: close" in received.lower() and not engine.calls
+        assert b"connection: close" in received.lower() and not server.calls
         await wire.stream.aclose()
 
 
@@ -111,15 +111,15 @@
 @story
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "STALL_S", 0.3)
-    engine = Engine()
-    async with among(engine) as router:
+    server = Engine()
+    async with among(server) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-8])
         for at in range(8):
             await trio.sleep(0.06)
             await wire.stream.send_all(sent[at - 8 : at - 7 or None])
-        assert (await wire.next()).status_code == 200 and engine.calls[0].body == b"x" * 8
+        assert (await wire.next()).status_code == 200 and server.calls[0].body == b"x" * 8
 
 
 @story
@@ -132,13 +132,13 @@
         await call.more(*EVENTS[1:])
         await call.end()
 
-    engine = Engine(answer_slowly)
-    async with among(engine) as router:
+    server = Engine(answer_slowly)
+    async with among(server) as router:
         first = await router.start_post()
         await first.next()
         assert (await router.post()).status == 409
         resume.set()
-        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(engine.calls) == 1
+        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(server.calls) == 1
         assert (await router.post()).whole  # the id can be reused once its request has ended
 
 
@@ -212,14 +212,14 @@
     script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
-    engines = [Engine(), Engine()]
-    for engine in engines:
-        engine.scripts = [script]
-    async with among(*engines) as router:
+    servers = [Engine(), Engine()]
+    for server in servers:
+        server.scripts = [script]
+    async with among(*servers) as router:
         recorder = Recorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both answers are malformed: two attempts, no more
         assert [e.status for e in recorder.of(AttemptEnded)] == [Status.RESET] * 2
-        assert [len(engine.calls) for engine in engines] == [1, 1]
+        assert [len(server.calls) for server in servers] == [1, 1]
         assert (await router.post()).whole
 
 
@@ -267,12 +267,12 @@
         await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
         await call.left()
 
-    engine = Engine(answer_with_extra_bytes)
-    async with among(engine) as router:
+    server = Engine(answer_with_extra_bytes)
+    async with among(server) as router:
         for _ in range(3):
             got = await router.post()
             assert (got.body, got.whole) == (b"".join(EVENTS), True)
-        assert engine.connections == 3
+        assert server.connections == 3
 
 
 @story
@@ -280,9 +280,9 @@
     async def bad_request(call: Call) -> None:
         await call.answer(400, b"no messages")
 
-    engine = Engine()
-    engine.scripts = [bad_request]
-    async with among(engine, Engine()) as router:
+    server = Engine()
+    server.scripts = [bad_request]
+    async with among(server, Engine()) as router:
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
@@ -307,7 +307,7 @@
 async def test_an_incomplete_grpc_request_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(DualProtocolServer(), operator=BOTH) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
         await all_of(silent)  # the router's SETTINGS, then the end of the stream
@@ -328,8 +328,8 @@
         await resume.wait()
         await call.finish(0)
 
-    engine = SharedEngine(answer_slowly)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(answer_slowly)
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         first = await client.start("ModelStreamInfer", grpc_request(), sorreldock_request_id="a")
         await first.messages(1)
         for fields, code in (
@@ -342,7 +342,7 @@
         await second.messages(1)
         resume.set()
         assert await first.answer() == await second.answer() == (0, [piece(1)])
-    assert len(engine.grpc_calls) == 2
+    assert len(server.grpc_streams) == 2
 
 
 @story
@@ -355,9 +355,9 @@
         await call.end.flush()
         await call.until(lambda: call.end.closed)
 
-    engines = [SharedEngine(), SharedEngine()]
-    for engine in engines:
-        engine.grpc_scripts = [send_incomplete_message]
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    servers = [DualProtocolServer(), DualProtocolServer()]
+    for server in servers:
+        server.grpc_scripts = [send_incomplete_message]
+    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", grpc_request()))[0] == 0
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -30,7 +30,7 @@
     refusal,
     router,
 )
-from grpc_peers import SharedEngine
+from grpc_peers import DualProtocolServer
 from grpc_peers import Stream as GrpcStream
 from peers import Call, serve_well
 
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @on_both
 async def test_events_come_whole_and_unchanged_and_one_connection_is_kept(protocol: str) -> None:
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     with hosted(router(engine)) as real:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
             for _ in range(3):
@@ -82,7 +82,7 @@
 
 @on_both
 async def test_calls_at_once_share_grpc_connections_and_get_their_own_http_ones() -> None:
-    with hosted(router(SharedEngine())) as real:
+    with hosted(router(DualProtocolServer())) as real:
         for protocol, most in (("http", 12), ("kserve", 1)):
             async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
                 await client.ask(ASK, 4.0)
@@ -99,7 +99,7 @@
     async def away(call: GrpcStream) -> None:
         await call.finish(14, x_never_ran="1")
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.script = turned_away  # type: ignore[assignment]
     engine.grpc_script = away
     with hosted(router(engine, limits={"max_attempts": 1})) as real:
@@ -122,7 +122,7 @@
         await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
         await call.wire.stream.aclose()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.scripts = [at, after]
     with hosted(router(engine)) as real:
         async with Client([real.address]) as client:
@@ -140,7 +140,7 @@
         await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
         await call.wire.stream.aclose()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.scripts = [cut, serve_well, cut, cut]
     with hosted(router(engine, family_info={"resume": True})) as real:
         async with Client([real.address], ClientSettings(resume=True)) as client:
@@ -175,7 +175,7 @@
         await call.until(lambda: False)
         left.set()
 
-    engine = SharedEngine(hang_grpc)
+    engine = DualProtocolServer(hang_grpc)
     engine.script = hang  # type: ignore[assignment]
     with hosted(router(engine)) as real:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
@@ -199,7 +199,7 @@
         await call.start(b"data: 1\n\n")
         await call.left()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.script = hang  # type: ignore[assignment]
     errors: list[ClientError] = []
     with hosted(router(engine)) as real:
@@ -222,7 +222,10 @@
 
 @beside_host
 def test_the_blocking_client_works_in_threads_and_knows_a_fork() -> None:
-    with hosted(router(SharedEngine())) as real, sorreldock.client.blocking.Client([real.address]) as client:
+    with (
+        hosted(router(DualProtocolServer())) as real,
+        sorreldock.client.blocking.Client([real.address]) as client,
+    ):
         with client.stream(ASK, timeout_s=4.0) as answer:
             assert len(list(answer)) == 3 and answer.attempts == 1
         threads = [threading.Thread(target=client.ask, args=(ASK, 4.0)) for _ in range(4)]
@@ -449,7 +452,7 @@
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @on_both
 async def test_a_real_routers_goodbye_sends_calls_to_the_other_one(protocol: str) -> None:
-    engine, second = SharedEngine(), SharedEngine()
+    engine, second = DualProtocolServer(), DualProtocolServer()
     with hosted(router(engine)) as real, hosted(router(second)) as other:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
             await client.ask(ASK, 4.0)
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, METADATA, SharedEngine, Stream, grpc_client, piece, request, serve_well
+from grpc_peers import BOTH, METADATA, DualProtocolServer, Stream, grpc_client, piece, request, serve_well
 from hyperframe.frame import GoAwayFrame
 from peers import among, story
 
@@ -47,12 +47,12 @@
 
 @story
 async def test_both_protocols_share_servers_and_each_rpc_gets_one_final_answer() -> None:
-    engines = [SharedEngine() for _ in range(3)]
-    for engine in engines:
-        engine.grpc_scripts = [refuse_unprocessed, fail]
-        engine.scripts = []
+    servers = [DualProtocolServer() for _ in range(3)]
+    for server in servers:
+        server.grpc_scripts = [refuse_unprocessed, fail]
+        server.scripts = []
     statuses: Counter[str] = Counter()
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
             received = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
@@ -73,7 +73,7 @@
         assert not router.program.core.open
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
-    names = Counter(call.headers["x-trace-id"] for e in engines for call in e.calls)
+    names = Counter(call.headers["x-trace-id"] for e in servers for call in e.calls)
     assert set(names.values()) == {1}
 
 
@@ -84,12 +84,12 @@
         await call.send(piece(1))
         await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
-    engine = SharedEngine(with_metadata)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(with_metadata)
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
-    [call] = engine.grpc_calls
+    [call] = server.grpc_streams
     assert stream.trailers == {"grpc-status": "0", "cost": "7"}  # the load report is for the router only
     assert code == 0 and call.data[5:] == message and call.headers["my-own"] == "kept"
     assert call.headers[":path"].endswith("/ModelInfer") and "sorreldock-class" not in call.headers
@@ -98,7 +98,7 @@
 
 @story
 async def test_a_stream_carries_several_requests_in_sequence() -> None:
-    async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(DualProtocolServer(), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
         await stream.send(request(name="r2"), end=True)
@@ -115,25 +115,25 @@
 )
 @story
 async def test_the_status_after_a_servers_failure(script: object, code: Code, count: int) -> None:
-    engine = SharedEngine(script)  # type: ignore[arg-type]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(script)  # type: ignore[arg-type]
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         assert await stream.answer() == (code, [piece(1)][:count])
         if code is Code.UNAVAILABLE:
             assert int((stream.trailers or stream.headers)["grpc-retry-pushback-ms"]) >= 0
-        assert len(engine.grpc_calls) == 1
+        assert len(server.grpc_streams) == 1
 
 
 @story
 async def test_a_class_that_must_not_run_twice_fails_with_internal() -> None:
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
-    engines = SharedEngine(fail), SharedEngine(fail)
+    servers = DualProtocolServer(fail), DualProtocolServer(fail)
     async with (
-        among(*engines, operator=BOTH, categories=categories) as router,
+        among(*servers, operator=BOTH, categories=categories) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelInfer", request()) == (Code.INTERNAL, [])
-    assert sum(len(e.grpc_calls) for e in engines) == 1
+    assert sum(len(e.grpc_streams) for e in servers) == 1
 
 
 @story
@@ -141,8 +141,8 @@
     async def unknown_tensor(call: Stream) -> None:
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
-    engine = SharedEngine(unknown_tensor)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(unknown_tensor)
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         for method, message, fields, code in (
             ("ModelInfer", b"\xff\xff", {}, Code.INVALID_ARGUMENT),
             ("ModelInfer", request(), {"sorreldock_class": "nothing"}, Code.INVALID_ARGUMENT),
@@ -156,10 +156,10 @@
             ("NoSuchMethod", b"", {}, Code.UNIMPLEMENTED),
         ):
             assert await client.call(method, message, **fields) == (code, []), (method, fields)
-        assert not engine.grpc_calls
+        assert not server.grpc_streams
         stream = await client.start("ModelInfer", request())  # a server's status: forwarded, not retried
         assert await stream.answer() == (Code.INVALID_ARGUMENT, [])
-        assert stream.headers["grpc-message"] == "no such tensor" and len(engine.grpc_calls) == 1
+        assert stream.headers["grpc-message"] == "no such tensor" and len(server.grpc_streams) == 1
 
 
 @story
@@ -171,9 +171,9 @@
         await call.send(piece(2))
         await call.finish(0)
 
-    engine = SharedEngine(answer_slowly)
-    engine.grpc_scripts = [hang]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(answer_slowly)
+    server.grpc_scripts = [hang]
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         started_at = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
         assert trio.current_time() - started_at < 1.0  # and not the deadline of 4 s of its class
@@ -183,27 +183,27 @@
 @story
 async def test_a_cancellation_within_a_stream_reaches_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
-    engine = SharedEngine(start_and_hang)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer(start_and_hang)
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
-        [call] = engine.grpc_calls
+        [call] = server.grpc_streams
         await call.until(lambda: call.end.closed)
         while router.program.core.open:
             await trio.sleep(0.005)
-        engine.grpc_script = serve_well
+        server.grpc_script = serve_well
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection stays open
 
 
 @story
 async def test_closing_a_client_connection_cancels_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
-    engine = SharedEngine(start_and_hang)
-    async with among(engine, operator=BOTH) as router:
+    server = DualProtocolServer(start_and_hang)
+    async with among(server, operator=BOTH) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
-        await engine.grpc_calls[0].until(lambda: engine.grpc_calls[0].end.closed)
+        await server.grpc_streams[0].until(lambda: server.grpc_streams[0].end.closed)
 
 
 @story
@@ -212,7 +212,7 @@
 ) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
     async with (
-        among(SharedEngine(start_and_hang), operator=BOTH) as router,
+        among(DualProtocolServer(start_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
@@ -230,28 +230,28 @@
             await call.send(big)
         await call.finish(0)
 
-    engine = SharedEngine(flood)
-    async with among(engine, operator=BOTH) as router, grpc_client(router, acknowledges_data=False) as slow:
+    server = DualProtocolServer(flood)
+    async with among(server, operator=BOTH) as router, grpc_client(router, acknowledges_data=False) as slow:
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
         assert 0 < sent < 20  # one or two windows, and the buffers in between
-        engine.grpc_script = serve_well
+        server.grpc_script = serve_well
         async with grpc_client(router) as other:
             assert (await other.call("ModelInfer", request()))[0] == 0
 
 
 @story
 async def test_server_connections_are_reused_until_goaway() -> None:
-    engine = SharedEngine()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer()
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
-        assert engine.connections == 1
-        end = engine.grpc_calls[0].end
+        assert server.connections == 1
+        end = server.grpc_streams[0].end
         end.h2.close_connection()  # GOAWAY on the idle connection
         await end.flush()
         assert (await client.call("ModelInfer", request()))[0] == 0
-        assert engine.connections == 2
+        assert server.connections == 2
 
 
 @story
@@ -265,12 +265,12 @@
         await call.send(piece(2))
         await call.finish(0)
 
-    engine = SharedEngine()
-    engine.grpc_scripts = [send_goaway_within_stream]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    server = DualProtocolServer()
+    server.grpc_scripts = [send_goaway_within_stream]
+    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(2):
             assert await client.call("ModelStreamInfer", request()) == (0, [piece(1), piece(2)])
-    assert engine.connections == 2
+    assert server.connections == 2
 
 
 @story
@@ -279,13 +279,13 @@
         call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
         await call.end.flush()
 
-    engines = SharedEngine(), SharedEngine()
-    for engine in engines:
-        engine.grpc_scripts = [refuse]
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    servers = DualProtocolServer(), DualProtocolServer()
+    for server in servers:
+        server.grpc_scripts = [refuse]
+    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", request()))[0] == 0
-    assert sum(len(e.grpc_calls) for e in engines) == 3
+    assert sum(len(e.grpc_streams) for e in servers) == 3
 
 
 @story
@@ -296,7 +296,7 @@
         engine_protocols=("http", "kserve"),
         least_severity="emerg",
     )
-    async with among(SharedEngine(), operator=operator) as router:
+    async with among(DualProtocolServer(), operator=operator) as router:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
@@ -337,7 +337,10 @@
         await finish.wait()
         await call.finish(0)
 
-    async with among(SharedEngine(finish_later), operator=BOTH) as router, grpc_client(router) as client:
+    async with (
+        among(DualProtocolServer(finish_later), operator=BOTH) as router,
+        grpc_client(router) as client,
+    ):
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         router.program.lifecycle.stop_asked.set()
@@ -386,7 +389,7 @@
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
-    async with among(SharedEngine(), operator=BOTH) as router:
+    async with among(DualProtocolServer(), operator=BOTH) as router:
         await trio.to_thread.run_sync(use_client, router.program.addresses["kserve"])
 
 
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
+from grpc_peers import BOTH, DualProtocolServer, Stream, grpc_client
 from grpc_peers import request as grpc_request
 from peers import Call, Discovery, Engine, among, serve_until, story
 from test_bad_days import all_of, raw
@@ -266,11 +266,11 @@
 async def test_a_grpc_call_that_comes_too_late_before_a_kill_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
         router.program.fronts["kserve"].refuse_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
-    assert not engine.grpc_calls
+    assert not engine.grpc_streams
 
 
 @story
@@ -306,7 +306,7 @@
             await call.end.changed.wait()
         left.set()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.grpc_scripts = [flood, hold]
     async with among(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
         client.end.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
@@ -334,7 +334,7 @@
         while not call.end.closed:
             await call.end.changed.wait()
 
-    async with among(SharedEngine(hold), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(DualProtocolServer(hold), operator=BOTH) as router, grpc_client(router) as client:
         await client.start("ModelInfer", grpc_request())
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
