--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -98,7 +98,7 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self.wire.run_writer)
                     nursery.start_soon(self.keep_alive)
-                    nursery.start_soon(self.greeted)
+                    nursery.start_soon(self.close_if_silent)
                     nursery.start_soon(self.close_when_written)
                     await self.read(nursery)
                     with trio.move_on_after(1.0):
@@ -167,7 +167,7 @@
             case _:
                 pass
 
-    async def greeted(self) -> None:
+    async def close_if_silent(self) -> None:
         """Close a connection that sends no HTTP/2 preface within the time limit for a head.
 
         A connection that reaches a draining router is sent GOAWAY earlier, unless it opens a stream.
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -15,7 +15,7 @@
 RING_BYTES = 16384
 # States of the kernel's tcp_info (include/net/tcp_states.h) in which the peer has closed its side.
 TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK, TCP_CLOSING = 7, 8, 9, 11
-ENDED_BY_PEER = frozenset({TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK, TCP_CLOSING})
+CLOSED_BY_PEER_STATES = frozenset({TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK, TCP_CLOSING})
 DISCARD_BUFFER = bytearray(65536)  # shared by all connections, for received data that is discarded
 
 
@@ -194,7 +194,7 @@
     if not isinstance(sock, trio.socket.SocketType) or sock.family == socket.AF_UNIX:
         return False
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in ENDED_BY_PEER
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in CLOSED_BY_PEER_STATES
     except OSError:
         return False  # a failed query doesn't mean closed; the next read will report a close
 
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -30,7 +30,7 @@
         self._family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._inherited = inherited is not None
         self._sock: Any = None if inherited is None else system.inherited(inherited)  # set by `bind`
-        self._listens = False
+        self._is_listening = False
         self._system = system
         self._wait_readable = system.wait_readable
         self._budget = budget
@@ -41,8 +41,8 @@
     async def bind(self) -> str:
         """Bind the address and return it, with the port that the system chose for port 0.
 
-        Clients can't connect before `listen`: the kernel completes a connection however long the program is
-        still starting, and the client takes it for accepted.
+        Clients can't connect before `listen`: a connection that the kernel has completed counts as accepted,
+        however long the program still takes to start.
         """
         if self._inherited:  # it listens already, also for another process
             return self._bound_address()
@@ -60,9 +60,9 @@
 
     async def listen(self) -> None:
         """Start listening, so that clients can connect; no effect on a socket that listens already."""
-        if not self._inherited and not self._listens:
+        if not self._inherited and not self._is_listening:
             await retry_transient(self._listen, is_resource_shortage)
-            self._listens = True
+            self._is_listening = True
 
     async def _listen(self) -> None:
         self._sock.listen(self._budget.limit)  # as many as the router can hold; the system may allow fewer
@@ -129,7 +129,7 @@
             self._budget.release(Use.CLIENT)
             raise
         connection = Connection(sock, lambda: self._budget.release(Use.CLIENT), self._wait_readable)
-        nursery.start_soon(self._attend, handle, connection)
+        nursery.start_soon(self._handle_and_close, handle, connection)
         return True
 
     def adopt(
@@ -147,7 +147,7 @@
             release()
             return
         connection = Connection(sock, release, self._wait_readable)
-        nursery.start_soon(self._attend, handle, connection)
+        nursery.start_soon(self._handle_and_close, handle, connection)
 
     def _inherited_socket(self, descriptor: int) -> Any:
         """Return the socket of a descriptor; retry a query that fails for lack of a resource."""
@@ -159,7 +159,9 @@
                     raise
         return self._system.inherited(descriptor)
 
-    async def _attend(self, handle: Callable[[Connection], Awaitable[None]], connection: Connection) -> None:
+    async def _handle_and_close(
+        self, handle: Callable[[Connection], Awaitable[None]], connection: Connection
+    ) -> None:
         try:
             await handle(connection)
         finally:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -77,9 +77,8 @@
         Candidate(Stage.TAKEN, now - 9),
     )
     candidates = [taken, fresh, slow, silent, idle, stopped]
-    assert timeout_fraction(slow, now) < timeout_fraction(
-        Candidate(Stage.IDLE, now - 0.1), now
-    )  # closing the idle one loses nothing
+    # An idle connection ranks before a slow partial request, since closing it loses nothing.
+    assert timeout_fraction(slow, now) < timeout_fraction(Candidate(Stage.IDLE, now - 0.1), now)
     assert (
         timeout_fraction(Candidate(Stage.PARTIAL, now - STAGE_TIMEOUT_S[Stage.PARTIAL] + 0.01), now)
         < 1.0
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -425,7 +425,12 @@
     "left-before-sent": (Core, "_is_wanted", as_it_came, "leak"),
     "reset-after-goaway": (kserve_connection, "suppress", lambda *errors: nullcontext(), "whole"),
     "whole-before-close": (Exchange, "step", steps_and_fails, "whole"),
-    "call-to-a-drained-router": (kserve_connection.ClientConnection, "greeted", greets_as_ever, "rest"),
+    "call-to-a-drained-router": (
+        kserve_connection.ClientConnection,
+        "close_if_silent",
+        greets_as_ever,
+        "rest",
+    ),
     "taken-while-closing": (Program, "_answer_all", begins_anew, "whole"),
 }
 
