--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -47,10 +47,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        """Whether a request has been received, at least in part, and its answer isn't sent yet.
-
-        A ModelStreamInfer stream between two requests owes none.
-        """
+        """Whether an answer is owed: always on a unary stream, on another one only during a request."""
         return self.is_unary or self.is_answering or self.deframer.partial
 
     # The interface for the core.
--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 import trio
-from grpc_peers import BOTH, DualProtocolServer
+from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer
 from peers import Peer, among
 
 from sorreldock.client import Request
@@ -97,7 +97,7 @@
 
 def router(engine: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
     """The real program before this engine, on both protocols."""
-    return among(engine, operator=BOTH, **options)
+    return among(engine, operator=BOTH_PROTOCOLS, **options)
 
 
 class Stub(Peer):
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -21,18 +21,18 @@
 from sorreldock.program.config import Kserve, Operator
 
 METADATA = {"sorreldock-class": "alt-text", "sorreldock-tenant": "acme", "sorreldock-session": "s1"}
-BOTH = Operator(
+BOTH_PROTOCOLS = Operator(
     kserve=Kserve("127.0.0.1:0", ("desc",), "", "", 30.0),
     engine_protocols=("http", "kserve"),
     least_severity="emerg",
 )
 
 
-def framed(message: bytes) -> bytes:
+def frame_message(message: bytes) -> bytes:
     return struct.pack(">BI", 0, len(message)) + message
 
 
-def unframed(data: bytes) -> list[bytes]:
+def split_messages(data: bytes) -> list[bytes]:
     messages = []
     while len(data) >= 5:
         end = 5 + int.from_bytes(data[1:5], "big")
@@ -47,7 +47,7 @@
     return pb.ModelInferRequest(model_name=model, id=name, raw_input_contents=[text]).SerializeToString()
 
 
-def piece(number: int) -> bytes:
+def stream_response(number: int) -> bytes:
     inner = pb.ModelInferResponse(model_name="desc", id=str(number))
     return pb.ModelStreamInferResponse(infer_response=inner).SerializeToString()
 
@@ -76,7 +76,7 @@
         return self.ended or self.reset is not None or self.end.closed
 
     async def send(self, *messages: bytes, end: bool = False) -> None:
-        view = b"".join(map(framed, messages))
+        view = b"".join(map(frame_message, messages))
         conn = self.end.h2
         while view and not self.refused():
             room = min(conn.local_flow_control_window(self.number), conn.max_outbound_frame_size)
@@ -107,11 +107,11 @@
         await self.until(lambda: False)
         fields = self.trailers or self.headers
         whole = self.ended and "grpc-status" in fields
-        return (int(fields["grpc-status"]) if whole else -1), unframed(self.data)
+        return (int(fields["grpc-status"]) if whole else -1), split_messages(self.data)
 
     async def messages(self, count: int) -> list[bytes]:
-        await self.until(lambda: len(unframed(self.data)) >= count)
-        return unframed(self.data)
+        await self.until(lambda: len(split_messages(self.data)) >= count)
+        return split_messages(self.data)
 
 
 class H2Endpoint:
@@ -174,16 +174,16 @@
                     on_request(stream)
 
 
-async def serve_well(call: Stream) -> None:
+async def answer_in_full(call: Stream) -> None:
     await call.start()
-    await call.send(piece(1), piece(2))
+    await call.send(stream_response(1), stream_response(2))
     await call.finish(0)
 
 
 class DualProtocolServer(Engine):
     """A scripted server for both protocols on one port, distinguished by the HTTP/2 preface."""
 
-    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
         self.grpc_script = grpc_script
         self.grpc_scripts: list[Callable[[Stream], Awaitable[None]]] = []
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -7,7 +7,7 @@
 
 import pytest
 import trio
-from grpc_peers import BOTH, DualProtocolServer, Stream, framed, grpc_client, piece
+from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer, Stream, frame_message, grpc_client, stream_response
 from grpc_peers import request as grpc_request
 from peers import EVENTS, FIELDS, Call, Engine, among, request, story
 from test_parts import Recorder
@@ -307,13 +307,13 @@
 async def test_an_incomplete_grpc_request_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limits, "HEAD_S", 0.1)
     monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(DualProtocolServer(), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
         await all_of(silent)  # the router's SETTINGS, then the end of the stream
         for method in ("ModelInfer", "ModelStreamInfer"):
             stream = await client.start(method, end=False)
-            client.end.h2.send_data(stream.number, framed(grpc_request())[:9])
+            client.end.h2.send_data(stream.number, frame_message(grpc_request())[:9])
             await client.end.flush()
             assert await stream.answer() == (Code.DEADLINE_EXCEEDED, [])
 
@@ -324,12 +324,12 @@
 
     async def answer_slowly(call: Stream) -> None:
         await call.start()
-        await call.send(piece(1))
+        await call.send(stream_response(1))
         await resume.wait()
         await call.finish(0)
 
     server = DualProtocolServer(answer_slowly)
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         first = await client.start("ModelStreamInfer", grpc_request(), sorreldock_request_id="a")
         await first.messages(1)
         for fields, code in (
@@ -341,7 +341,7 @@
         second = await client.start("ModelStreamInfer", grpc_request())  # a message's id may be repeated
         await second.messages(1)
         resume.set()
-        assert await first.answer() == await second.answer() == (0, [piece(1)])
+        assert await first.answer() == await second.answer() == (0, [stream_response(1)])
     assert len(server.grpc_streams) == 2
 
 
@@ -351,13 +351,13 @@
 
     async def send_incomplete_message(call: Stream) -> None:
         await call.start()
-        call.end.h2.send_data(call.number, framed(piece(1))[:-1])
+        call.end.h2.send_data(call.number, frame_message(stream_response(1))[:-1])
         await call.end.flush()
         await call.until(lambda: call.end.closed)
 
     servers = [DualProtocolServer(), DualProtocolServer()]
     for server in servers:
         server.grpc_scripts = [send_incomplete_message]
-    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", grpc_request()))[0] == 0
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -8,7 +8,16 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, METADATA, DualProtocolServer, Stream, grpc_client, piece, request, serve_well
+from grpc_peers import (
+    BOTH_PROTOCOLS,
+    METADATA,
+    DualProtocolServer,
+    Stream,
+    answer_in_full,
+    grpc_client,
+    request,
+    stream_response,
+)
 from hyperframe.frame import GoAwayFrame
 from peers import among, story
 
@@ -35,13 +44,13 @@
 
 async def start_and_close(call: Stream) -> None:
     await call.start()
-    await call.send(piece(1))
+    await call.send(stream_response(1))
     await call.end.stream.aclose()
 
 
 async def start_and_hang(call: Stream) -> None:
     await call.start()
-    await call.send(piece(1))
+    await call.send(stream_response(1))
     await call.until(lambda: call.end.closed)
 
 
@@ -52,7 +61,7 @@
         server.grpc_scripts = [refuse_unprocessed, fail]
         server.scripts = []
     statuses: Counter[str] = Counter()
-    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
             received = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
@@ -63,7 +72,7 @@
             code, received = await client.call(
                 "ModelStreamInfer", request(name=f"g{number}"), sorreldock_session=f"s{number}"
             )
-            assert received == ([piece(1), piece(2)] if code == 0 else [])
+            assert received == ([stream_response(1), stream_response(2)] if code == 0 else [])
             statuses[f"grpc {code}"] += 1
 
         async with trio.open_nursery() as nursery:
@@ -81,11 +90,11 @@
 async def test_a_request_is_forwarded_unchanged() -> None:
     async def with_metadata(call: Stream) -> None:
         await call.start()
-        await call.send(piece(1))
+        await call.send(stream_response(1))
         await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
     server = DualProtocolServer(with_metadata)
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
@@ -98,11 +107,11 @@
 
 @story
 async def test_a_stream_carries_several_requests_in_sequence() -> None:
-    async with among(DualProtocolServer(), operator=BOTH) as router, grpc_client(router) as client:
+    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
         await stream.send(request(name="r2"), end=True)
-        assert await stream.answer() == (0, [piece(1), piece(2)] * 2)
+        assert await stream.answer() == (0, [stream_response(1), stream_response(2)] * 2)
 
 
 @pytest.mark.parametrize(
@@ -116,9 +125,9 @@
 @story
 async def test_the_status_after_a_servers_failure(script: object, code: Code, count: int) -> None:
     server = DualProtocolServer(script)  # type: ignore[arg-type]
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
-        assert await stream.answer() == (code, [piece(1)][:count])
+        assert await stream.answer() == (code, [stream_response(1)][:count])
         if code is Code.UNAVAILABLE:
             assert int((stream.trailers or stream.headers)["grpc-retry-pushback-ms"]) >= 0
         assert len(server.grpc_streams) == 1
@@ -129,7 +138,7 @@
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
     servers = DualProtocolServer(fail), DualProtocolServer(fail)
     async with (
-        among(*servers, operator=BOTH, categories=categories) as router,
+        among(*servers, operator=BOTH_PROTOCOLS, categories=categories) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelInfer", request()) == (Code.INTERNAL, [])
@@ -142,7 +151,7 @@
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
     server = DualProtocolServer(unknown_tensor)
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for method, message, fields, code in (
             ("ModelInfer", b"\xff\xff", {}, Code.INVALID_ARGUMENT),
             ("ModelInfer", request(), {"sorreldock_class": "nothing"}, Code.INVALID_ARGUMENT),
@@ -166,14 +175,14 @@
 async def test_the_deadline_applies_until_the_first_message_only() -> None:
     async def answer_slowly(call: Stream) -> None:
         await call.start()
-        await call.send(piece(1))
+        await call.send(stream_response(1))
         await trio.sleep(0.3)  # longer than the deadline, which no longer applies
-        await call.send(piece(2))
+        await call.send(stream_response(2))
         await call.finish(0)
 
     server = DualProtocolServer(answer_slowly)
     server.grpc_scripts = [hang]
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         started_at = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
         assert trio.current_time() - started_at < 1.0  # and not the deadline of 4 s of its class
@@ -184,7 +193,7 @@
 async def test_a_cancellation_within_a_stream_reaches_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     server = DualProtocolServer(start_and_hang)
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
@@ -192,7 +201,7 @@
         await call.until(lambda: call.end.closed)
         while router.program.core.open:
             await trio.sleep(0.005)
-        server.grpc_script = serve_well
+        server.grpc_script = answer_in_full
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection stays open
 
 
@@ -200,7 +209,7 @@
 async def test_closing_a_client_connection_cancels_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
     server = DualProtocolServer(start_and_hang)
-    async with among(server, operator=BOTH) as router:
+    async with among(server, operator=BOTH_PROTOCOLS) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
         await server.grpc_streams[0].until(lambda: server.grpc_streams[0].end.closed)
@@ -212,10 +221,10 @@
 ) -> None:
     monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
     async with (
-        among(DualProtocolServer(start_and_hang), operator=BOTH) as router,
+        among(DualProtocolServer(start_and_hang), operator=BOTH_PROTOCOLS) as router,
         grpc_client(router) as client,
     ):
-        assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
+        assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [stream_response(1)])
 
 
 @story
@@ -231,11 +240,14 @@
         await call.finish(0)
 
     server = DualProtocolServer(flood)
-    async with among(server, operator=BOTH) as router, grpc_client(router, acknowledges_data=False) as slow:
+    async with (
+        among(server, operator=BOTH_PROTOCOLS) as router,
+        grpc_client(router, acknowledges_data=False) as slow,
+    ):
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
         assert 0 < sent < 20  # one or two windows, and the buffers in between
-        server.grpc_script = serve_well
+        server.grpc_script = answer_in_full
         async with grpc_client(router) as other:
             assert (await other.call("ModelInfer", request()))[0] == 0
 
@@ -243,7 +255,7 @@
 @story
 async def test_server_connections_are_reused_until_goaway() -> None:
     server = DualProtocolServer()
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
         assert server.connections == 1
@@ -258,18 +270,21 @@
 async def test_a_server_completes_a_stream_after_goaway() -> None:
     async def send_goaway_within_stream(call: Stream) -> None:
         await call.start()
-        await call.send(piece(1))
+        await call.send(stream_response(1))
         goaway = GoAwayFrame(0, last_stream_id=call.number).serialize()
         await call.end.stream.send_all(goaway[:7])  # split, as a network may deliver it
         await call.end.stream.send_all(goaway[7:])
-        await call.send(piece(2))
+        await call.send(stream_response(2))
         await call.finish(0)
 
     server = DualProtocolServer()
     server.grpc_scripts = [send_goaway_within_stream]
-    async with among(server, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for _ in range(2):
-            assert await client.call("ModelStreamInfer", request()) == (0, [piece(1), piece(2)])
+            assert await client.call("ModelStreamInfer", request()) == (
+                0,
+                [stream_response(1), stream_response(2)],
+            )
     assert server.connections == 2
 
 
@@ -282,7 +297,7 @@
     servers = DualProtocolServer(), DualProtocolServer()
     for server in servers:
         server.grpc_scripts = [refuse]
-    async with among(*servers, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", request()))[0] == 0
     assert sum(len(e.grpc_streams) for e in servers) == 3
@@ -291,8 +306,8 @@
 @story
 async def test_a_client_that_answers_no_ping_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
-    operator = BOTH.__class__(
-        kserve=BOTH.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
+    operator = BOTH_PROTOCOLS.__class__(
+        kserve=BOTH_PROTOCOLS.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
         engine_protocols=("http", "kserve"),
         least_severity="emerg",
     )
@@ -333,12 +348,12 @@
 
     async def finish_later(call: Stream) -> None:
         await call.start()
-        await call.send(piece(1))
+        await call.send(stream_response(1))
         await finish.wait()
         await call.finish(0)
 
     async with (
-        among(DualProtocolServer(finish_later), operator=BOTH) as router,
+        among(DualProtocolServer(finish_later), operator=BOTH_PROTOCOLS) as router,
         grpc_client(router) as client,
     ):
         stream = await client.start("ModelStreamInfer", request())
@@ -348,7 +363,7 @@
             await trio.sleep(0.005)
         assert client.end.goaway_received
         finish.set()
-        assert await stream.answer() == (0, [piece(1)])
+        assert await stream.answer() == (0, [stream_response(1)])
 
 
 @story
@@ -389,7 +404,7 @@
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
-    async with among(DualProtocolServer(), operator=BOTH) as router:
+    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router:
         await trio.to_thread.run_sync(use_client, router.program.addresses["kserve"])
 
 
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, DualProtocolServer, Stream, grpc_client
+from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer, Stream, grpc_client
 from grpc_peers import request as grpc_request
 from peers import Call, Discovery, Engine, among, serve_until, story
 from test_bad_days import all_of, raw
@@ -267,7 +267,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = DualProtocolServer()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with among(engine, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         router.program.fronts["kserve"].refuse_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not engine.grpc_streams
@@ -308,7 +308,7 @@
 
     engine = DualProtocolServer()
     engine.grpc_scripts = [flood, hold]
-    async with among(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
+    async with among(engine, operator=BOTH_PROTOCOLS) as router, grpc_client(router, reads=False) as client:
         client.end.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
         client.end.h2.update_settings({4: 2**30})  # room for all that the engine sends
         client.end.h2.increment_flow_control_window(2**30)
@@ -334,7 +334,10 @@
         while not call.end.closed:
             await call.end.changed.wait()
 
-    async with among(DualProtocolServer(hold), operator=BOTH) as router, grpc_client(router) as client:
+    async with (
+        among(DualProtocolServer(hold), operator=BOTH_PROTOCOLS) as router,
+        grpc_client(router) as client,
+    ):
         await client.start("ModelInfer", grpc_request())
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
