--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -12,7 +12,7 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import SERVICE, Code, Deframer, GrpcError, Headers, frame, trailers
-from ...routing.types import Final, NameTaken, Overloaded, SinkClosed
+from ...routing.types import FinalAnswer, NameTaken, Overloaded, SinkClosed
 from ...transport.connection import ConnectionLost
 from .. import front as limits
 from .metadata import OWN_PREFIX, StreamHead, error_status_of, rpc_from
@@ -32,8 +32,8 @@
         self.head = StreamHead(number, headers)
         self.is_unary = not self.head.headers.get(":path", "").endswith("/ModelStreamInfer")
         self.scope = trio.CancelScope()
-        self.deframer = Deframer(limits.LARGEST_BODY)
-        self.held_bytes = 0  # of the payload budget
+        self.deframer = Deframer(limits.MAX_BODY_BYTES)
+        self.reserved_bytes = 0  # of the payload budget
         self.unacknowledged_bytes = 0  # received, not yet acknowledged for flow control
         self.exceeds_budget = False  # a message didn't fit into the payload budget
         self.ended = False  # the client has half-closed the stream
@@ -41,7 +41,7 @@
         self.changed = trio.Event()
         self.head_sent = False
         self.trailing_metadata: Headers = []  # the server's, forwarded to the client
-        self.final: Final | None = None
+        self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.is_answering = False  # from submitting a request until its answer is queued for sending
 
@@ -52,7 +52,7 @@
 
     # The interface for the core.
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         if self.final is not None or self.reset:
             raise SinkClosed
         self.release_payload()  # an answer has started: the core no longer holds the payload
@@ -61,11 +61,11 @@
         except (ConnectionLost, h2.exceptions.ProtocolError):
             raise SinkClosed from None
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         self.final = final
         self.finished.set()
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         return self.reset or self.client.wire.connection.closed_by_peer
 
     # The interface for the connection.
@@ -77,15 +77,15 @@
     def feed(self, data: bytes, length: int) -> None:
         self.unacknowledged_bytes += length
         if self.client.front.payloads.acquire(len(data)):
-            self.held_bytes += len(data)
+            self.reserved_bytes += len(data)
             self.deframer.feed(data)
         else:
             self.exceeds_budget = True
         self.notify()
 
     def release_payload(self) -> None:
-        self.client.front.payloads.release(self.held_bytes)
-        self.held_bytes = 0
+        self.client.front.payloads.release(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     async def send(self, data: bytes) -> None:
         """Send data as flow control allows; raise ConnectionLost if the client reads nothing."""
@@ -94,7 +94,7 @@
             self.head_sent = True
             wire.h2.send_headers(self.number, RESPONSE_HEADERS)
         view = memoryview(data)
-        with trio.move_on_after(limits.WRITE_S) as scope:
+        with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             while view:
                 if self.reset:
                     raise ConnectionLost("the client has cancelled the stream")
@@ -133,7 +133,7 @@
             self.acknowledge_received()
             # A stream may stay open between messages; a message that has started must continue.
             started = self.is_unary or self.deframer.partial
-            with trio.move_on_after(limits.STALL_S if started else math.inf) as stall:
+            with trio.move_on_after(limits.STALL_TIMEOUT_S if started else math.inf) as stall:
                 await self.changed.wait()
             if stall.cancelled_caught:
                 raise GrpcError(Code.DEADLINE_EXCEEDED, "the request does not go on")
@@ -188,7 +188,7 @@
             if not self.head_sent:
                 await self.send(b"")
             return
-        with trio.move_on_after(limits.BODY_S) as scope:
+        with trio.move_on_after(limits.BODY_TIMEOUT_S) as scope:
             message = await self.next_message()
             if message is not None and await self.next_message() is not None:
                 raise GrpcError(Code.INVALID_ARGUMENT, "a unary call with two messages")
@@ -204,7 +204,7 @@
     async def infer(self, method: str, message: bytes) -> None:
         """Run one RPC, from its request message to its final answer."""
         front = self.client.front
-        if front.refuses:
+        if front.is_refusing:
             raise GrpcError(Code.UNAVAILABLE, "stopping")
         request = parse(pb.ModelInferRequest(), message)
         front.check_model(request.model_name)
@@ -230,9 +230,9 @@
         error = error_status_of(self.final)
         if error is not None:
             raise error
-        if isinstance(self.final.verdict, GrpcError):
+        if isinstance(self.final.server_status, GrpcError):
             # Of the last answer if the stream carries several.
-            self.trailing_metadata = self.final.verdict.metadata
+            self.trailing_metadata = self.final.server_status.metadata
 
 
 MessageT = TypeVar("MessageT", bound=Message)
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -26,17 +26,17 @@
     frame,
     status_of,
 )
-from ...routing.types import RPC, CallProgress, Report
+from ...routing.types import RPC, AttemptProgress, AttemptResult
 from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
 from ...transport.pool import ConnectionPool
-from .. import engine
-from ..engine import NeverTaken, PooledEngineClient, ProtocolFault
-from ..loads import HEADER, parse_load
+from .. import server_client
+from ..loads import LOAD_REPORT_HEADER, parse_load
+from ..server_client import PooledServerClient, RequestNotProcessed, ServerProtocolError
 from .grpc import H2Wire
 from .metadata import HOP_METADATA, KservePayload
 
-LOAD_METADATA = HEADER.lower()
+LOAD_METADATA = LOAD_REPORT_HEADER.lower()
 # The request is invalid: any other server would return the same status, so it is forwarded to the client.
 REQUEST_ERRORS = (Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.FAILED_PRECONDITION, Code.UNIMPLEMENTED)
 
@@ -47,13 +47,13 @@
     try:
         yield
     except (h2.exceptions.ProtocolError, GrpcError, DecodeError) as error:
-        raise ProtocolFault(str(error)) from None
+        raise ServerProtocolError(str(error)) from None
 
 
 class Exchange:
     """One stream to a server, from its request to its trailers."""
 
-    def __init__(self, line: EngineLine, number: int) -> None:
+    def __init__(self, line: ServerConnection, number: int) -> None:
         self.line = line
         self.number = number
         self.deframer = Deframer(MAX_ANSWER_BYTES)
@@ -78,7 +78,7 @@
             case GoAway(last_stream_id, error):
                 self.line.goaway_received = True
                 if last_stream_id < self.number:
-                    raise NeverTaken("excluded by a GOAWAY")
+                    raise RequestNotProcessed("excluded by a GOAWAY")
                 if error:
                     raise ConnectionLost(f"GOAWAY with error {error}")
             case _ if getattr(event, "stream_id", None) != self.number:
@@ -96,7 +96,7 @@
                 self.ended = True
             case h2.events.StreamReset():
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
-                    raise NeverTaken("REFUSED_STREAM")
+                    raise RequestNotProcessed("REFUSED_STREAM")
                 if not self.ended:
                     raise ConnectionLost(f"stream reset with error {event.error_code}")
 
@@ -129,7 +129,9 @@
                     raise ConnectionLost("the last message is incomplete")
                 return None
             if silence is not None and self.deframer.partial:
-                silence.deadline = min(silence_deadline, trio.current_time() + engine.OPENING_S)
+                silence.deadline = min(
+                    silence_deadline, trio.current_time() + server_client.FIRST_EVENT_TIMEOUT_S
+                )
             await self.step()
 
     def status(self) -> tuple[int, str]:
@@ -140,7 +142,7 @@
         return parse_load(text)
 
 
-class EngineLine:
+class ServerConnection:
     """A connection to a server, with its HTTP/2 state."""
 
     def __init__(self, connection: Connection) -> None:
@@ -178,7 +180,7 @@
         return Exchange(self, number)
 
 
-class KserveEngineClient(PooledEngineClient[EngineLine, Exchange]):
+class KserveServerClient(PooledServerClient[ServerConnection, Exchange]):
     """Attempts and probes on one server over gRPC."""
 
     def __init__(
@@ -189,22 +191,26 @@
         conn_idle_s: float,
         dial: Dial = dial,
     ) -> None:
-        super().__init__(ConnectionPool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial))
+        super().__init__(
+            ConnectionPool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial)
+        )
         self._address = address
 
-    async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> Exchange:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with translate_errors():
-            exchange = line.open_exchange(payload.method, self._address, progress.wait_s(), payload.metadata)
+            exchange = line.open_exchange(
+                payload.method, self._address, progress.first_event_timeout_s(), payload.metadata
+            )
             await exchange.send(frame(payload.message))
         return exchange
 
-    async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
+    async def answer(self, exchange: Exchange, progress: AttemptProgress) -> AttemptResult:
         has_started = False
         while True:
             with (
-                trio.move_on_after(engine.SILENCE_S if has_started else math.inf) as silence,
+                trio.move_on_after(server_client.EVENT_GAP_TIMEOUT_S if has_started else math.inf) as silence,
                 translate_errors(),
             ):
                 message = await exchange.next_message(silence)
@@ -213,10 +219,10 @@
             if message is None:
                 return self._result_of(exchange, has_started)
             has_started = True
-            await progress.event(message)
+            await progress.forward_event(message)
 
     @staticmethod
-    def _result_of(exchange: Exchange, has_started: bool) -> Report:
+    def _result_of(exchange: Exchange, has_started: bool) -> AttemptResult:
         code, text = exchange.status()
         load = exchange.load()
         fields = dict(exchange.trailers)
@@ -226,19 +232,19 @@
             if not HOP_METADATA.match(k) and k not in (LOAD_METADATA, "x-never-ran")
         ]
         if code == Code.OK:
-            return Report(Status.OK, load, verdict=GrpcError(Code.OK, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(Code.OK, text, metadata))
         if not has_started and code in REQUEST_ERRORS:
-            return Report(Status.OK, load, verdict=GrpcError(code, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(code, text, metadata))
         if not has_started and fields.get("x-never-ran") == "1":
-            return Report(Status.FULL, load, note=f"grpc-status {code}")
-        return Report(Status.ERROR, load, note=f"grpc-status {code}: {text}")
+            return AttemptResult(Status.FULL, load, note=f"grpc-status {code}")
+        return AttemptResult(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
-    async def ask_load(self, line: EngineLine) -> Report:
+    async def ask_load(self, line: ServerConnection) -> AttemptResult:
         with translate_errors():
-            exchange = line.open_exchange("ServerReady", self._address, engine.PROBE_S, [])
+            exchange = line.open_exchange("ServerReady", self._address, server_client.PROBE_TIMEOUT_S, [])
             await exchange.send(frame(b""))
             message = await exchange.next_message()
             while await exchange.next_message() is not None:
                 pass
             ready = pb.ServerReadyResponse.FromString(message or b"").ready
-        return Report(Status.OK if ready else Status.FULL, exchange.load())
+        return AttemptResult(Status.OK if ready else Status.FULL, exchange.load())
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -29,7 +29,7 @@
 class ClientConnection:
     """One client connection, the only reader of its wire, and its streams."""
 
-    held_bytes = 0  # its streams reserve their own; a connection with a stream is in the stage TAKEN
+    reserved_bytes = 0  # its streams reserve their own; a connection with a stream is in the stage TAKEN
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
@@ -38,7 +38,7 @@
         self.scope = trio.CancelScope()
         self.last_received_at = trio.current_time()
         self.idle_since = self.last_received_at
-        self.spoken = False
+        self.has_sent_request = False
         # The final GOAWAY follows a first one once no more streams are accepted.
         self.goaway_sent = self.final_goaway_sent = self.has_protocol_error = False
         self.should_close = trio.Event()
@@ -53,7 +53,7 @@
     def stage(self) -> Stage:
         if self.streams:
             return Stage.TAKEN
-        return Stage.IDLE if self.spoken else Stage.SILENT
+        return Stage.IDLE if self.has_sent_request else Stage.SILENT
 
     @property
     def owes_answer(self) -> bool:
@@ -67,7 +67,7 @@
     def readable(self) -> bool:
         return self.wire.connection.readable
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         self.close_if_idle()
         self.wire.connection.close()
 
@@ -104,7 +104,9 @@
                     with trio.move_on_after(1.0):
                         await self.wire.wait_written()  # the GOAWAY after a protocol error
                     if self.has_protocol_error:
-                        await self.wire.connection.lingering_close(limits.HANG_UP_S, limits.QUIET_S)
+                        await self.wire.connection.lingering_close(
+                            limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S
+                        )
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
             pass  # the client has closed, or doesn't speak HTTP/2
@@ -121,8 +123,8 @@
             if events is None:
                 return
             self.last_received_at = trio.current_time()
-            if events and not self.spoken:
-                self.spoken, self.idle_since = True, self.last_received_at
+            if events and not self.has_sent_request:
+                self.has_sent_request, self.idle_since = True, self.last_received_at
             for event in events:
                 self.handle_event(event, nursery)
             if not self.streams:
@@ -173,11 +175,11 @@
         A connection that reaches a draining router is sent GOAWAY earlier, unless it opens a stream.
         """
         if not self.front.accepting:
-            await trio.sleep(limits.LATE_S)
+            await trio.sleep(limits.DRAINING_FIRST_BYTE_TIMEOUT_S)
             if not self.streams and not self.front.accepting:
                 self.send_goaway()
-        await trio.sleep(limits.HEAD_S)
-        if not self.spoken:
+        await trio.sleep(limits.HEAD_TIMEOUT_S)
+        if not self.has_sent_request:
             self.scope.cancel()
 
     async def keep_alive(self) -> None:
--- a/sorreldock/protocol/kserve/metadata.py
+++ b/sorreldock/protocol/kserve/metadata.py
@@ -9,7 +9,7 @@
 import trio
 
 from ...kserve.framing import Code, GrpcError, Headers, parse_timeout
-from ...routing.types import RPC, Cause, EventSink, Final, Outcome, Router
+from ...routing.types import RPC, Cause, EventSink, FinalAnswer, Outcome, RPCDispatcher
 
 MAX_DEADLINE_S = 3600.0
 OWN_PREFIX = "sorreldock-"  # of the router's own metadata
@@ -53,10 +53,10 @@
         self.arrived_at = trio.current_time()
 
 
-def error_status_of(final: Final) -> GrpcError | None:
+def error_status_of(final: FinalAnswer) -> GrpcError | None:
     """Return the error status of an RPC's final answer; None for OK."""
-    if isinstance(final.verdict, GrpcError):  # a server's own status for an invalid request
-        return final.verdict if final.verdict.code != Code.OK else None
+    if isinstance(final.server_status, GrpcError):  # a server's own status for an invalid request
+        return final.server_status if final.server_status.code != Code.OK else None
     if final.outcome is Outcome.SERVED:
         return None
     if final.cause is Cause.DEADLINE:
@@ -77,7 +77,7 @@
     message: bytes,
     request_id: str,
     settings: FrontSettings,
-    core: Router,
+    core: RPCDispatcher,
     sink: EventSink,
 ) -> RPC:
     """Return the RPC of one request message; raise GrpcError for invalid metadata."""
--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer
-from peers import Peer, among
+from peers import Peer, running_router
 
 from sorreldock.client import Request
 
@@ -97,7 +97,7 @@
 
 def router(engine: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
     """The real program before this engine, on both protocols."""
-    return among(engine, operator=BOTH_PROTOCOLS, **options)
+    return running_router(engine, operator=BOTH_PROTOCOLS, **options)
 
 
 class Stub(Peer):
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -14,7 +14,7 @@
 import h2.events
 import h2.exceptions
 import trio
-from peers import Engine, Router
+from peers import Router, ScriptedServer
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import GoAwayFilter
@@ -23,8 +23,8 @@
 METADATA = {"sorreldock-class": "alt-text", "sorreldock-tenant": "acme", "sorreldock-session": "s1"}
 BOTH_PROTOCOLS = Operator(
     kserve=Kserve("127.0.0.1:0", ("desc",), "", "", 30.0),
-    engine_protocols=("http", "kserve"),
-    least_severity="emerg",
+    server_protocols=("http", "kserve"),
+    min_severity="emerg",
 )
 
 
@@ -180,7 +180,7 @@
     await call.finish(0)
 
 
-class DualProtocolServer(Engine):
+class DualProtocolServer(ScriptedServer):
     """A scripted server for both protocols on one port, distinguished by the HTTP/2 preface."""
 
     def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = answer_in_full) -> None:
@@ -202,12 +202,12 @@
 
     async def _run_script(self, call: Stream) -> None:
         self.grpc_streams.append(call)
-        self.out += 1
-        self.most_out = max(self.most_out, self.out)
+        self.open_requests += 1
+        self.max_open_requests = max(self.max_open_requests, self.open_requests)
         try:
             await (self.grpc_scripts.pop(0) if self.grpc_scripts else self.grpc_script)(call)
         finally:
-            self.out -= 1
+            self.open_requests -= 1
 
 
 class PrefixedStream:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,17 @@
 import trio
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, Engine, Router, Wire, among, answer, serve_until, story, streaming
+from peers import (
+    EVENTS,
+    HttpConnection,
+    Router,
+    ScriptedServer,
+    read_answer,
+    running_router,
+    start_streaming,
+    stream_until,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.transport import admission
@@ -91,18 +101,18 @@
     assert order == [stopped, silent, idle, slow]
 
 
-async def send_partial_request(router: Router, part: bytes) -> Wire:
+async def send_partial_request(router: Router, part: bytes) -> HttpConnection:
     wire = await router.connect()
     await wire.stream.send_all(part)
     return wire
 
 
-@story
+@trio_test
 async def test_partial_and_idle_connections_are_evicted_and_taken_requests_never() -> None:
-    finish, server = trio.Event(), Engine()
-    async with among(server) as router:
+    finish, server = trio.Event(), ScriptedServer()
+    async with running_router(server) as router:
         budget = router.program.budget
-        taken = await streaming(router, server, finish)
+        taken = await start_streaming(router, server, finish)
         budget.max_used[Use.CLIENT] = 12
         partial_connections = [await send_partial_request(router, raw()[: 20 + k]) for k in range(9)]
         idle = await router.connect()
@@ -112,7 +122,7 @@
         writer = await send_partial_request(router, raw()[:50])  # a legitimate client that continues slowly
         while budget.used[Use.CLIENT] < 12:
             await trio.sleep(0.005)
-        server.script, new_streams = serve_until(finish), []
+        server.script, new_streams = stream_until(finish), []
         for number in range(9):  # each on its own connection, with an open stream
             new_streams.append(await router.start_post(x_trace_id=f"new-{number}"))
             assert (await new_streams[-1].next()).status_code == 200
@@ -127,16 +137,16 @@
         assert closed >= 8
         await writer.stream.send_all(raw()[59:])
         finish.set()
-        assert (await answer(writer)).whole
+        assert (await read_answer(writer)).whole
         while type(event := await taken.next()).__name__ != "EndOfMessage":
             assert event.data in EVENTS
 
 
-@story
+@trio_test
 async def test_a_stalled_partial_request_is_evicted_to_free_its_payload_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         payloads = router.program.payloads
         payloads.max_used = 100_000
         head = raw().replace(b"content-length: 2", b"content-length: 60000").partition(b"\r\n\r\n")[0]
@@ -149,4 +159,4 @@
         assert await stopped.stream.receive_some(1) == b""
         fresh = await send_partial_request(router, head.replace(b"t1", b"t2") + b"\r\n\r\n" + b"x" * 59_000)
         await fresh.stream.send_all(b"x" * 1000)  # memory is available again, so it is served
-        assert (await answer(fresh)).whole
+        assert (await read_answer(fresh)).whole
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -9,13 +9,13 @@
 import trio
 from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer, Stream, frame_message, grpc_client, stream_response
 from grpc_peers import request as grpc_request
-from peers import EVENTS, FIELDS, Call, Engine, among, request, story
+from peers import EVENTS, FIELDS, ReceivedRequest, ScriptedServer, request, running_router, trio_test
 from test_parts import Recorder
 
 from sorreldock.interface import AttemptEnded, Status
 from sorreldock.kserve.framing import Code
-from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol import front as limits
+from sorreldock.protocol import server_client
 from sorreldock.protocol.http.client import Events
 from sorreldock.transport import admission
 from sorreldock.transport.budget import Use
@@ -64,23 +64,23 @@
         b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 10_000,
     ],
 )
-@story
+@trio_test
 async def test_ambiguous_and_malformed_requests_get_an_error_and_are_not_forwarded(sent: bytes) -> None:
-    server = Engine()
-    async with among(server) as router:
+    server = ScriptedServer()
+    async with running_router(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(sent + raw(x_trace_id=b"behind"))
         started_at = trio.current_time()
         received = await all_of(wire.stream)
         assert received.startswith(b"HTTP/1.1 4") and received.count(b"HTTP/1.1") == 1
         assert trio.current_time() - started_at < 0.5
-        assert b"connection: close" in received.lower() and not server.calls
+        assert b"connection: close" in received.lower() and not server.received_requests
         await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_a_client_can_read_an_error_while_it_still_sends_megabytes() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         for head in (raw(body=b"", length=b"8000000"), raw(b"transfer-encoding: chunked", body=b"")):
             wire = await router.connect()
             if b"chunked" in head:
@@ -93,13 +93,13 @@
 @pytest.mark.parametrize(
     "partial_request", [b"", b"POST /v1/chat", raw(length=b"90"), raw(x_trace_id=None, length=b"90")]
 )
-@story
+@trio_test
 async def test_a_connection_with_an_incomplete_request_is_closed(
     partial_request: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(Engine()) as router:
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         if partial_request:
             await wire.stream.send_all(partial_request)
@@ -108,44 +108,44 @@
         assert received.startswith(b"HTTP/1.1 40" if partial_request else b"")
 
 
-@story
+@trio_test
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "STALL_S", 0.3)
-    server = Engine()
-    async with among(server) as router:
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.3)
+    server = ScriptedServer()
+    async with running_router(server) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-8])
         for at in range(8):
             await trio.sleep(0.06)
             await wire.stream.send_all(sent[at - 8 : at - 7 or None])
-        assert (await wire.next()).status_code == 200 and server.calls[0].body == b"x" * 8
+        assert (await wire.next()).status_code == 200 and server.received_requests[0].body == b"x" * 8
 
 
-@story
+@trio_test
 async def test_a_repeated_id_of_an_open_request_is_refused_and_the_first_request_continues() -> None:
     resume = trio.Event()
 
-    async def answer_slowly(call: Call) -> None:
+    async def answer_slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await resume.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
-    server = Engine(answer_slowly)
-    async with among(server) as router:
+    server = ScriptedServer(answer_slowly)
+    async with running_router(server) as router:
         first = await router.start_post()
         await first.next()
         assert (await router.post()).status == 409
         resume.set()
-        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(server.calls) == 1
+        assert [(await first.next()).data for _ in EVENTS] == EVENTS and len(server.received_requests) == 1
         assert (await router.post()).whole  # the id can be reused once its request has ended
 
 
-@story
+@trio_test
 async def test_silent_connections_are_evicted_before_used_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admission, "MIN_STAGE_AGE_S", 0.0)
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         used = await router.connect()
         await used.stream.send_all(raw())
         while b"0\r\n\r\n" not in await used.stream.receive_some(4096):
@@ -165,35 +165,35 @@
 # Malformed answers of servers.
 
 
-async def send_noise(call: Call) -> None:
+async def send_noise(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
-    await call.left()
+    await call.wait_closed()
 
 
-async def send_endless_head(call: Call) -> None:
+async def send_endless_head(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
-    await call.left()
+    await call.wait_closed()
 
 
-async def send_endless_chunk(call: Call) -> None:
+async def send_endless_chunk(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"B2D05E00\r\n")
     while True:
         await call.wire.stream.send_all(EVENTS[0] * 100)
 
 
-async def send_noise_as_events(call: Call) -> None:
+async def send_noise_as_events(call: ReceivedRequest) -> None:
     await call.start(b"\xff\x00noise\n\n" + EVENTS[0])
-    await call.left()
+    await call.wait_closed()
 
 
-async def send_wrong_chunk_size(call: Call) -> None:
+async def send_wrong_chunk_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
-    await call.left()
+    await call.wait_closed()
 
 
-async def send_malformed_chunk_size(call: Call) -> None:
+async def send_malformed_chunk_size(call: ReceivedRequest) -> None:
     await call.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
-    await call.left()
+    await call.wait_closed()
 
 
 MALFORMED_ANSWERS = [
@@ -207,32 +207,32 @@
 
 
 @pytest.mark.parametrize("script", MALFORMED_ANSWERS)
-@story
+@trio_test
 async def test_an_answer_malformed_before_its_first_event_is_a_failed_attempt(
-    script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
-    servers = [Engine(), Engine()]
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
+    servers = [ScriptedServer(), ScriptedServer()]
     for server in servers:
         server.scripts = [script]
-    async with among(*servers) as router:
+    async with running_router(*servers) as router:
         recorder = Recorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both answers are malformed: two attempts, no more
         assert [e.status for e in recorder.of(AttemptEnded)] == [Status.RESET] * 2
-        assert [len(server.calls) for server in servers] == [1, 1]
+        assert [len(server.received_requests) for server in servers] == [1, 1]
         assert (await router.post()).whole
 
 
 @pytest.mark.parametrize(
     "script", [send_endless_chunk, send_wrong_chunk_size, send_malformed_chunk_size, send_noise_as_events]
 )
-@story
+@trio_test
 async def test_a_stream_malformed_later_closes_the_clients_connection_without_the_last_chunk(
-    script: Callable[[Call], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.2)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.2)
 
-    async def malformed_after_first_event(call: Call) -> None:
+    async def malformed_after_first_event(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         real = call.wire.stream
         call.wire.stream = StreamAfterHead(real)
@@ -252,41 +252,41 @@
             for event in events[1:]:
                 await self.stream.send_all(b"%x\r\n%b\r\n" % (len(event.data), event.data))
 
-    async with among(Engine(malformed_after_first_event)) as router:
+    async with running_router(ScriptedServer(malformed_after_first_event)) as router:
         got = await router.post()
     assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
 
 
-@story
+@trio_test
 async def test_unexpected_bytes_before_or_after_an_answer_are_ignored() -> None:
-    async def answer_with_extra_bytes(call: Call) -> None:
+    async def answer_with_extra_bytes(call: ReceivedRequest) -> None:
         body = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS) + b"0\r\n\r\n"
         informational = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n" * 3
         load = b"Endpoint-Load-Metrics: TEXT \xff\xfe=, queue=-4, errors_per_s=1e99\r\n\r\n"
         other = CHUNKED + b"b\r\ndata: not\n\n\r\n0\r\n\r\n"
         await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
-        await call.left()
+        await call.wait_closed()
 
-    server = Engine(answer_with_extra_bytes)
-    async with among(server) as router:
+    server = ScriptedServer(answer_with_extra_bytes)
+    async with running_router(server) as router:
         for _ in range(3):
             got = await router.post()
             assert (got.body, got.whole) == (b"".join(EVENTS), True)
         assert server.connections == 3
 
 
-@story
+@trio_test
 async def test_the_status_of_an_invalid_request_is_forwarded_and_its_server_stays_in_use() -> None:
-    async def bad_request(call: Call) -> None:
+    async def bad_request(call: ReceivedRequest) -> None:
         await call.answer(400, b"no messages")
 
-    server = Engine()
+    server = ScriptedServer()
     server.scripts = [bad_request]
-    async with among(server, Engine()) as router:
+    async with running_router(server, ScriptedServer()) as router:
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
-        assert all(replica.strikes == 0 for replica in gateway.replicas.values())
+        assert all(replica.failure_count == 0 for replica in gateway.replicas.values())
 
 
 def test_events_are_split_at_their_ends_and_never_changed() -> None:
@@ -303,11 +303,14 @@
 # The same cases over gRPC.
 
 
-@story
+@trio_test
 async def test_an_incomplete_grpc_request_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
-    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
+    async with (
+        running_router(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router,
+        grpc_client(router) as client,
+    ):
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
         await all_of(silent)  # the router's SETTINGS, then the end of the stream
@@ -318,7 +321,7 @@
             assert await stream.answer() == (Code.DEADLINE_EXCEEDED, [])
 
 
-@story
+@trio_test
 async def test_a_repeated_grpc_id_of_an_open_request_and_repeated_metadata_are_errors() -> None:
     resume = trio.Event()
 
@@ -329,7 +332,7 @@
         await call.finish(0)
 
     server = DualProtocolServer(answer_slowly)
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         first = await client.start("ModelStreamInfer", grpc_request(), sorreldock_request_id="a")
         await first.messages(1)
         for fields, code in (
@@ -345,9 +348,9 @@
     assert len(server.grpc_streams) == 2
 
 
-@story
+@trio_test
 async def test_an_incomplete_grpc_message_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
 
     async def send_incomplete_message(call: Stream) -> None:
         await call.start()
@@ -358,6 +361,6 @@
     servers = [DualProtocolServer(), DualProtocolServer()]
     for server in servers:
         server.grpc_scripts = [send_incomplete_message]
-    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", grpc_request()))[0] == 0
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -19,12 +19,12 @@
     stream_response,
 )
 from hyperframe.frame import GoAwayFrame
-from peers import among, story
+from peers import running_router, trio_test
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
 from sorreldock.program.phases import Phase
-from sorreldock.protocol import engine as engine_client
+from sorreldock.protocol import server_client
 from sorreldock.protocol.kserve import connection as kserve_connection
 from sorreldock.protocol.kserve.grpc import FrontWire
 from sorreldock.transport.connection import Connection
@@ -54,14 +54,14 @@
     await call.until(lambda: call.end.closed)
 
 
-@story
+@trio_test
 async def test_both_protocols_share_servers_and_each_rpc_gets_one_final_answer() -> None:
     servers = [DualProtocolServer() for _ in range(3)]
     for server in servers:
         server.grpc_scripts = [refuse_unprocessed, fail]
         server.scripts = []
     statuses: Counter[str] = Counter()
-    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
             received = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
@@ -79,14 +79,14 @@
             for number in range(20):
                 nursery.start_soon(http, number)
                 nursery.start_soon(kserve, number)
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
-    names = Counter(call.headers["x-trace-id"] for e in servers for call in e.calls)
+    names = Counter(call.headers["x-trace-id"] for e in servers for call in e.received_requests)
     assert set(names.values()) == {1}
 
 
-@story
+@trio_test
 async def test_a_request_is_forwarded_unchanged() -> None:
     async def with_metadata(call: Stream) -> None:
         await call.start()
@@ -94,7 +94,7 @@
         await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
     server = DualProtocolServer(with_metadata)
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
@@ -105,9 +105,12 @@
     assert 1e6 < int(call.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
 
 
-@story
+@trio_test
 async def test_a_stream_carries_several_requests_in_sequence() -> None:
-    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with (
+        running_router(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router,
+        grpc_client(router) as client,
+    ):
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
         await stream.send(request(name="r2"), end=True)
@@ -122,10 +125,10 @@
         (start_and_close, Code.INTERNAL, 1),
     ],
 )
-@story
+@trio_test
 async def test_the_status_after_a_servers_failure(script: object, code: Code, count: int) -> None:
     server = DualProtocolServer(script)  # type: ignore[arg-type]
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         assert await stream.answer() == (code, [stream_response(1)][:count])
         if code is Code.UNAVAILABLE:
@@ -133,25 +136,25 @@
         assert len(server.grpc_streams) == 1
 
 
-@story
+@trio_test
 async def test_a_class_that_must_not_run_twice_fails_with_internal() -> None:
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
     servers = DualProtocolServer(fail), DualProtocolServer(fail)
     async with (
-        among(*servers, operator=BOTH_PROTOCOLS, categories=categories) as router,
+        running_router(*servers, operator=BOTH_PROTOCOLS, categories=categories) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelInfer", request()) == (Code.INTERNAL, [])
     assert sum(len(e.grpc_streams) for e in servers) == 1
 
 
-@story
+@trio_test
 async def test_each_invalid_request_gets_its_status() -> None:
     async def unknown_tensor(call: Stream) -> None:
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
     server = DualProtocolServer(unknown_tensor)
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for method, message, fields, code in (
             ("ModelInfer", b"\xff\xff", {}, Code.INVALID_ARGUMENT),
             ("ModelInfer", request(), {"sorreldock_class": "nothing"}, Code.INVALID_ARGUMENT),
@@ -171,7 +174,7 @@
         assert stream.headers["grpc-message"] == "no such tensor" and len(server.grpc_streams) == 1
 
 
-@story
+@trio_test
 async def test_the_deadline_applies_until_the_first_message_only() -> None:
     async def answer_slowly(call: Stream) -> None:
         await call.start()
@@ -182,52 +185,52 @@
 
     server = DualProtocolServer(answer_slowly)
     server.grpc_scripts = [hang]
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         started_at = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
         assert trio.current_time() - started_at < 1.0  # and not the deadline of 4 s of its class
         assert (await client.call("ModelStreamInfer", request(), grpc_timeout="250m"))[0] == 0
 
 
-@story
+@trio_test
 async def test_a_cancellation_within_a_stream_reaches_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     server = DualProtocolServer(start_and_hang)
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
         [call] = server.grpc_streams
         await call.until(lambda: call.end.closed)
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         server.grpc_script = answer_in_full
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection stays open
 
 
-@story
+@trio_test
 async def test_closing_a_client_connection_cancels_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 60.0)  # nothing else may end the attempt
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     server = DualProtocolServer(start_and_hang)
-    async with among(server, operator=BOTH_PROTOCOLS) as router:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
         await server.grpc_streams[0].until(lambda: server.grpc_streams[0].end.closed)
 
 
-@story
+@trio_test
 async def test_a_server_that_stops_sending_within_a_stream_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.1)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
     async with (
-        among(DualProtocolServer(start_and_hang), operator=BOTH_PROTOCOLS) as router,
+        running_router(DualProtocolServer(start_and_hang), operator=BOTH_PROTOCOLS) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [stream_response(1)])
 
 
-@story
+@trio_test
 async def test_a_slow_client_slows_only_its_own_stream() -> None:
     sent = 0
     big = pb.ModelStreamInferResponse(error_message="x" * 50_000).SerializeToString()
@@ -241,7 +244,7 @@
 
     server = DualProtocolServer(flood)
     async with (
-        among(server, operator=BOTH_PROTOCOLS) as router,
+        running_router(server, operator=BOTH_PROTOCOLS) as router,
         grpc_client(router, acknowledges_data=False) as slow,
     ):
         await slow.start("ModelStreamInfer", request())
@@ -252,10 +255,10 @@
             assert (await other.call("ModelInfer", request()))[0] == 0
 
 
-@story
+@trio_test
 async def test_server_connections_are_reused_until_goaway() -> None:
     server = DualProtocolServer()
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
         assert server.connections == 1
@@ -266,7 +269,7 @@
         assert server.connections == 2
 
 
-@story
+@trio_test
 async def test_a_server_completes_a_stream_after_goaway() -> None:
     async def send_goaway_within_stream(call: Stream) -> None:
         await call.start()
@@ -279,7 +282,7 @@
 
     server = DualProtocolServer()
     server.grpc_scripts = [send_goaway_within_stream]
-    async with among(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         for _ in range(2):
             assert await client.call("ModelStreamInfer", request()) == (
                 0,
@@ -288,7 +291,7 @@
     assert server.connections == 2
 
 
-@story
+@trio_test
 async def test_a_refused_stream_was_not_processed_and_is_retried_elsewhere() -> None:
     async def refuse(call: Stream) -> None:
         call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
@@ -297,21 +300,21 @@
     servers = DualProtocolServer(), DualProtocolServer()
     for server in servers:
         server.grpc_scripts = [refuse]
-    async with among(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
+    async with running_router(*servers, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", request()))[0] == 0
     assert sum(len(e.grpc_streams) for e in servers) == 3
 
 
-@story
+@trio_test
 async def test_a_client_that_answers_no_ping_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH_PROTOCOLS.__class__(
         kserve=BOTH_PROTOCOLS.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
-        engine_protocols=("http", "kserve"),
-        least_severity="emerg",
+        server_protocols=("http", "kserve"),
+        min_severity="emerg",
     )
-    async with among(DualProtocolServer(), operator=operator) as router:
+    async with running_router(DualProtocolServer(), operator=operator) as router:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
@@ -319,7 +322,7 @@
             pass  # until the router closes, since no PING is answered
 
 
-@story
+@trio_test
 async def test_cancelling_a_stream_that_waits_to_write_corrupts_no_frame() -> None:
     router_end, client_end = trio.socket.socketpair()
     wire = FrontWire(Connection(router_end, lambda: None), 1)
@@ -342,7 +345,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_sigterm_sends_goaway_and_open_streams_complete() -> None:
     finish = trio.Event()
 
@@ -353,12 +356,12 @@
         await call.finish(0)
 
     async with (
-        among(DualProtocolServer(finish_later), operator=BOTH_PROTOCOLS) as router,
+        running_router(DualProtocolServer(finish_later), operator=BOTH_PROTOCOLS) as router,
         grpc_client(router) as client,
     ):
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         assert client.end.goaway_received
@@ -366,7 +369,7 @@
         assert await stream.answer() == (0, [stream_response(1)])
 
 
-@story
+@trio_test
 async def test_the_grpc_librarys_client_is_served() -> None:
     def use_client(address: str) -> None:
         service = "/inference.GRPCInferenceService/"
@@ -404,7 +407,7 @@
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
-    async with among(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router:
+    async with running_router(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router:
         await trio.to_thread.run_sync(use_client, router.program.addresses["kserve"])
 
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -7,7 +7,17 @@
 import h11
 import pytest
 import trio
-from peers import EVENTS, FIELDS, Engine, Router, among, answer, request, story, streaming
+from peers import (
+    EVENTS,
+    FIELDS,
+    Router,
+    ScriptedServer,
+    read_answer,
+    request,
+    running_router,
+    start_streaming,
+    trio_test,
+)
 
 from sorreldock.program import console
 from sorreldock.program.phases import Phase
@@ -31,20 +41,20 @@
     return await heard(await caller(router, f"{word}\n".encode()))
 
 
-@story
+@trio_test
 async def test_a_drained_router_answers_what_comes_empties_and_serves_again() -> None:
-    finish, engine = trio.Event(), Engine()
-    async with among(engine, console="127.0.0.1:0") as router:
+    finish, engine = trio.Event(), ScriptedServer()
+    async with running_router(engine, console="127.0.0.1:0") as router:
         assert await call(router, "ready") == "ok serving\n" == await call(router, "resume")
-        assert (await router.ask("GET", "/up")).status == 200
+        assert (await router.send_request("GET", "/up")).status == 200
         idle = await router.connect()
-        taken = await streaming(router, engine, finish)
+        taken = await start_streaming(router, engine, finish)
         assert [await call(router, word) for word in ("drain", "ready", "drain")] == [
             "ok draining\n",
             "fail drained\n",
             "ok draining\n",
         ]
-        assert (await router.ask("GET", "/up")).status == 503
+        assert (await router.send_request("GET", "/up")).status == 503
         # A connection of before is in use within the front's lag, and is told that it ends.
         kept = await router.connect()
         late = await router.post(x_trace_id="late")
@@ -59,35 +69,35 @@
         assert body == b"".join(EVENTS) and type(event).__name__ == "EndOfMessage"
         assert await taken.stream.receive_some(1) == b""
         assert await call(router, "resume") == "ok serving\n"
-        assert (await router.ask("GET", "/up")).status == 200
+        assert (await router.send_request("GET", "/up")).status == 200
         wire = await router.connect()
         for name in ("one", "two"):  # connections are kept again
             head = request("POST", "/v1/chat/completions", b"", {**FIELDS, "x_trace_id": name})
             await wire.send(head, h11.EndOfMessage())
-            assert (await answer(wire)).whole
+            assert (await read_answer(wire)).whole
             wire.parser.start_next_cycle()
 
 
-@story
+@trio_test
 async def test_a_call_back_within_the_lag_closes_nothing_and_sigterm_ends_a_drained_router() -> None:
-    async with among(Engine(), console="127.0.0.1:0") as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0") as router:
         program = router.program
         await call(router, "drain")
         assert await call(router, "resume") == "ok serving\n"
         assert not any(front.closing for front in program.fronts.values())  # type: ignore[attr-defined]
         await call(router, "drain")
         program.linger_s = 0.2
-        program.lifecycle.stop_asked.set()
+        program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.002)
         for word in ("ready", "drain", "resume"):
             assert await call(router, word) == "fail stopping\n"
-        assert (await router.ask("GET", "/up")).status == 503
+        assert (await router.send_request("GET", "/up")).status == 503
 
 
-@story
+@trio_test
 async def test_each_call_gets_a_line_and_silent_ones_cost_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with among(Engine(), console="127.0.0.1:0") as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0") as router:
         for sent in (b"drain now\n", b"\xff\n", b"\n"):
             unknown = "fail unknown call; there are ready, drain, resume\n"
             assert await heard(await caller(router, sent)) == unknown
@@ -108,9 +118,9 @@
         assert await heard(ended) == "fail a line without an end\n"
 
 
-@story
+@trio_test
 async def test_a_crowd_of_clients_cannot_shut_the_operators_out() -> None:
-    async with among(Engine(), console="127.0.0.1:0", sockets=100) as router:
+    async with running_router(ScriptedServer(), console="127.0.0.1:0", sockets=100) as router:
         budget: Any = router.program.budget
         crowd = [await router.connect() for _ in range(2 * sum(budget.max_used.values()))]
         assert sum(budget.max_used.values()) + console.DESCRIPTORS <= 100 - 100 // 6
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,11 +13,20 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
-
-from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
+
+from sorreldock.interface import (
+    AttemptEnded,
+    Event,
+    FirstToken,
+    Metric,
+    Probe,
+    RequestArrived,
+    StartAttempt,
+    Status,
+)
 from sorreldock.kserve.framing import GoAway, GoAwayFilter
-from sorreldock.program.serve import most_open, payload_bytes
+from sorreldock.program.serve import max_open_rpcs, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
 from sorreldock.transport.budget import DescriptorBudget, Use
@@ -87,17 +96,17 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-@story
+@trio_test
 async def test_the_end_of_a_stream_tells_the_module_load_and_kept_tokens() -> None:
-    async def report(call: Call) -> None:
+    async def report(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         usage = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}\n\n'
         tail = usage + b"data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT errors_per_s=1.5, backlog=4\n\n"
         for at in range(0, len(tail), 7):  # cut anywhere
-            await call.more(tail[at : at + 7])
+            await call.send_events(tail[at : at + 7])
         await call.end()
 
-    async with among(Engine(report)) as router:
+    async with running_router(ScriptedServer(report)) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).whole
         while not seen.of(AttemptEnded):
@@ -108,44 +117,44 @@
     assert ended.report == (1.5, 4.0)
 
 
-@story
+@trio_test
 async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         Recorder(router.program.core._gateway, lambda events: [])
         began = trio.current_time()
         # Nothing but the deadline's timer answers; a loaded machine may lag it, a lost timer never ends.
         with trio.fail_after(1.0):
             assert (await router.post(x_expires_in="200m")).status == 504
         assert trio.current_time() - began >= 0.15
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
 
 
-@story
+@trio_test
 async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
-    async def hang(call: Call) -> None:
-        await call.left()
+    async def hang(call: ReceivedRequest) -> None:
+        await call.wait_closed()
 
-    engines = [Engine(hang), Engine(hang)]
-    async with among(*engines) as router:
+    engines = [ScriptedServer(hang), ScriptedServer(hang)]
+    async with running_router(*engines) as router:
         core = router.program.core
 
         def both(events: Sequence[Event]) -> list[Any]:
             arrived = [e for e in events if isinstance(e, RequestArrived)]
-            return [Send(e.request, replica) for e in arrived for replica in core.subchannels]
+            return [StartAttempt(e.request, replica) for e in arrived for replica in core.subchannels]
 
         seen = Recorder(core._gateway, both)
         await router.post(x_expires_in="200m")
         assert next(e.status for e in seen.of(AttemptEnded)) is Status.NOT_SENT
-    assert sum(len(engine.calls) for engine in engines) == 1
+    assert sum(len(engine.received_requests) for engine in engines) == 1
 
 
-@story
+@trio_test
 async def test_probes_bring_load_and_a_stranger_is_not_probed() -> None:
-    async def load(call: Call) -> None:
+    async def load(call: ReceivedRequest) -> None:
         assert call.head.target == b"/metrics/load"
         await call.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
 
-    async with among(Engine(load), limits={"probes": True}) as router:
+    async with running_router(ScriptedServer(load), limits={"probes": True}) as router:
         core = router.program.core
         seen = Recorder(core._gateway, lambda events: [])
         core._decide([])
@@ -160,20 +169,20 @@
     assert list(ended.values()) == [(Status.OK, (0.5, 2.0))]
 
 
-@story
+@trio_test
 async def test_an_engine_that_talks_nonsense_ends_its_attempt_only() -> None:
-    async def nonsense(call: Call) -> None:
+    async def nonsense(call: ReceivedRequest) -> None:
         await call.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
 
-    engine = Engine()
+    engine = ScriptedServer()
     engine.scripts = [nonsense]
-    async with among(engine, Engine()) as router:
+    async with running_router(engine, ScriptedServer()) as router:
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
-@story
+@trio_test
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         router.program.budget.max_used[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
@@ -181,23 +190,23 @@
             await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_many_routers_keep_few_idle_connections_each_at_an_engine() -> None:
     """An engine holds only so many connections, and all routers' idle ones count."""
     out, all_out = [], trio.Event()
 
-    async def together(call: Call) -> None:
+    async def together(call: ReceivedRequest) -> None:
         out.append(call)
         if len(out) == 8:
             all_out.set()
         await all_out.wait()
-        await serve_well(call)
+        await answer_in_full(call)
 
-    async with among(Engine(together), balancers=200) as router:
+    async with running_router(ScriptedServer(together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
             for k in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         assert router.program.budget.used[Use.SERVER] == 4
 
@@ -224,15 +233,15 @@
 
 def test_the_budgets_follow_the_limits() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
-    assert [most_open(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
+    assert [max_open_rpcs(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
         most = DescriptorBudget(limit).max_used
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
-@story
+@trio_test
 async def test_a_connection_at_rest_holds_no_buffers() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.start_post()
         while not isinstance(await wire.next(), h11.EndOfMessage):
             pass
