--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -268,7 +268,7 @@
 ) -> None:
     engine = DualProtocolServer()
     async with running_router(engine, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
-        router.program.fronts["kserve"].refuse_from = trio.current_time()
+        router.program.fronts["kserve"].refuse_requests_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not engine.grpc_streams
 
