--- a/sorreldock/protocol/kserve/__init__.py
+++ b/sorreldock/protocol/kserve/__init__.py
@@ -1,1 +1,1 @@
-"""The KServe v2 inference protocol over gRPC. Imported only where an operator's file asks for it."""
+"""The KServe v2 inference protocol over gRPC; imported only if the operator's file configures it."""
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -32,7 +32,7 @@
 
 
 class LocalShortage(DialFailed):
-    """This machine had no descriptor, port or memory for a connection; says nothing about the peer."""
+    """A connection failed for lack of a local descriptor, port or memory, whatever the state of the peer."""
 
 
 class Connection:
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -65,6 +65,7 @@
     reset: int | None = None
 
     async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until the condition holds or the stream is over."""
         while not condition() and not self.over():
             await self.end.changed.wait()
 
