--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -15,7 +15,7 @@
 import anyio
 import pytest
 import trio
-from grpc_peers import BOTH, SharedEngine
+from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer
 from peers import Peer, running_router
 
 from sorreldock.client import Request
@@ -98,9 +98,9 @@
         raise result["error"]
 
 
-def router(engine: SharedEngine, **options: Any) -> AbstractAsyncContextManager[Any]:
+def router(engine: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
     """Return a context of the real router in front of this server, on both protocols."""
-    return running_router(engine, operator=BOTH, **options)
+    return running_router(engine, operator=BOTH_PROTOCOLS, **options)
 
 
 class Stub(Peer):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -30,7 +30,7 @@
     refusal,
     router,
 )
-from grpc_peers import SharedEngine
+from grpc_peers import DualProtocolServer
 from grpc_peers import Stream as GrpcStream
 from peers import ReceivedRequest, answer_in_full
 
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @on_both
 async def test_events_arrive_unchanged_and_one_connection_is_reused(protocol: str) -> None:
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     with hosted(router(engine)) as real:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
             for _ in range(3):
@@ -82,7 +82,7 @@
 
 @on_both
 async def test_concurrent_calls_share_a_grpc_connection_and_use_separate_http_ones() -> None:
-    with hosted(router(SharedEngine())) as real:
+    with hosted(router(DualProtocolServer())) as real:
         for protocol, max_connections in (("http", 12), ("kserve", 1)):
             async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
                 await client.ask(REQUEST, 4.0)
@@ -99,7 +99,7 @@
     async def refuse_grpc(call: GrpcStream) -> None:
         await call.finish(14, x_never_ran="1")
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.script = refuse  # type: ignore[assignment]
     engine.grpc_script = refuse_grpc
     with hosted(router(engine, limits={"max_attempts": 1})) as real:
@@ -122,7 +122,7 @@
         await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
         await call.wire.stream.aclose()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.scripts = [cut_at_first_event, cut_after_first_event]
     with hosted(router(engine)) as real:
         async with Client([real.address]) as client:
@@ -140,7 +140,7 @@
         await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
         await call.wire.stream.aclose()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.scripts = [cut_after_first_event, answer_in_full, cut_after_first_event, cut_after_first_event]
     with hosted(router(engine, family_info={"resume": True})) as real:
         async with Client([real.address], ClientSettings(resume=True)) as client:
@@ -175,7 +175,7 @@
         await call.until(lambda: False)
         cancelled.set()
 
-    engine = SharedEngine(hang_grpc)
+    engine = DualProtocolServer(hang_grpc)
     engine.script = hang  # type: ignore[assignment]
     with hosted(router(engine)) as real:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
@@ -199,7 +199,7 @@
         await call.start(b"data: 1\n\n")
         await call.wait_closed()
 
-    engine = SharedEngine()
+    engine = DualProtocolServer()
     engine.script = hang  # type: ignore[assignment]
     errors: list[ClientError] = []
     with hosted(router(engine)) as real:
@@ -222,7 +222,10 @@
 
 @beside_host
 def test_the_blocking_client_works_in_threads_and_rejects_use_after_a_fork() -> None:
-    with hosted(router(SharedEngine())) as real, sorreldock.client.blocking.Client([real.address]) as client:
+    with (
+        hosted(router(DualProtocolServer())) as real,
+        sorreldock.client.blocking.Client([real.address]) as client,
+    ):
         with client.stream(REQUEST, timeout_s=4.0) as answer:
             assert len(list(answer)) == 3 and answer.attempts == 1
         threads = [threading.Thread(target=client.ask, args=(REQUEST, 4.0)) for _ in range(4)]
@@ -451,7 +454,7 @@
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @on_both
 async def test_calls_go_to_the_other_router_when_one_announces_its_stop(protocol: str) -> None:
-    engine, second = SharedEngine(), SharedEngine()
+    engine, second = DualProtocolServer(), DualProtocolServer()
     with hosted(router(engine)) as real, hosted(router(second)) as other:
         async with Client([real.program.addresses[protocol]], protocol=protocol) as client:
             await client.ask(REQUEST, 4.0)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -394,7 +394,7 @@
 
 async def steps_and_fails(self: Exchange) -> None:
     for event in await self.line.wire.receive() or ():
-        self.take(event)
+        self.handle_event(event)
     await self.line.wire.flush()
 
 
@@ -426,7 +426,12 @@
     "left-before-sent": (Core, "_should_decide", as_it_came, "leak"),
     "reset-after-goaway": (kserve_connection, "suppress", lambda *errors: nullcontext(), "whole"),
     "whole-before-close": (Exchange, "step", steps_and_fails, "whole"),
-    "call-to-a-drained-router": (kserve_connection.ClientConnection, "greeted", greets_as_ever, "rest"),
+    "call-to-a-drained-router": (
+        kserve_connection.ClientConnection,
+        "close_if_silent",
+        greets_as_ever,
+        "rest",
+    ),
     "taken-while-closing": (Program, "_answer_all", begins_anew, "whole"),
 }
 
