--- a/sorreldock/__init__.py
+++ b/sorreldock/__init__.py
@@ -1,4 +1,7 @@
-"""A request router for fleets of language-model servers; `Gateway`, its decisions, is free of I/O."""
+"""A request router for fleets of language-model servers.
+
+`Gateway` is the decision module of the router; it does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The decisions load when they are asked for: `sorreldock.client` imports nothing of the router."""
+    """Import `Gateway` on first access, so that `sorreldock.client` imports nothing of the router."""
     if name == "Gateway":
         from .rules import Gateway
 
--- a/sorreldock/program/__init__.py
+++ b/sorreldock/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: commands, configuration, phases and its log. It wires the other layers together."""
+"""The program: its commands, configuration, phases and log; it connects the other layers."""
--- a/sorreldock/program/calls.py
+++ b/sorreldock/program/calls.py
@@ -1,4 +1,4 @@
-"""What operators' calls do, and what they are answered in each phase."""
+"""The operators' commands and their answers in each phase of the program."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from ..routing.core import Core
 from .phases import Lifecycle, Phase
 
-# After a drain call: the front asks every 0.1 s and sends for 0.2 s more; then nobody new comes.
+# After a drain command: the platform's front polls the router every 0.1 s and sends it clients for 0.2 s
+# after it has seen the change. Once this time has passed, no new client arrives.
 FRONT_LAG_S = 0.5
 
 
 class OperatorCommands:
-    """Answers operators' calls in each phase."""
+    """The commands `ready`, `drain` and `resume`; each returns the line that answers it."""
 
     def __init__(
         self, lifecycle: Lifecycle, core: Core, fronts: dict[str, Front[Any]], nursery: trio.Nursery
     ) -> None:
         self._lifecycle, self._core, self._fronts, self._nursery = lifecycle, core, fronts, nursery
-        self._emptying = trio.CancelScope()
+        self._drain_scope = trio.CancelScope()
 
     def ready(self) -> str:
         if self._lifecycle.stopping:
@@ -31,30 +32,33 @@
         return "ok serving" if self._core.can_serve() else "fail no engine takes work"
 
     def drain(self) -> str:
-        """Send the clients away. The listener stays open: `/up` is answered (no), and what still comes."""
+        """Close the clients' connections while the listener stays open.
+
+        `/up` is answered with a failure, and requests that still arrive are served.
+        """
         if self._lifecycle.stopping or self._lifecycle.phase is Phase.STARTING:
             return self.ready()
         if self._lifecycle.phase is Phase.SERVING:
             self._lifecycle.enter(Phase.DRAINED)
-            self._emptying = trio.CancelScope()
-            self._nursery.start_soon(self._empty, self._emptying)
+            self._drain_scope = trio.CancelScope()
+            self._nursery.start_soon(self._close_connections, self._drain_scope)
         return "ok draining"
 
     def resume(self) -> str:
         if self._lifecycle.stopping or self._lifecycle.phase is Phase.STARTING:
             return self.ready()
         if self._lifecycle.phase is Phase.DRAINED:
-            self._emptying.cancel()
+            self._drain_scope.cancel()
             for front in self._fronts.values():
                 front.resume()
             self._lifecycle.enter(Phase.SERVING)
         return "ok serving"
 
-    def stop(self) -> None:
-        """SIGTERM's path takes over."""
-        self._emptying.cancel()
+    def cancel_drain(self) -> None:
+        """Cancel a drain in progress, since the shutdown closes the connections itself."""
+        self._drain_scope.cancel()
 
-    async def _empty(self, scope: trio.CancelScope) -> None:
+    async def _close_connections(self, scope: trio.CancelScope) -> None:
         with scope:
             for front in self._fronts.values():
                 await front.linger()
--- a/sorreldock/program/cli.py
+++ b/sorreldock/program/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line `sorreldock`."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 )
 OperatorFile = Annotated[
     Path | None,
-    typer.Option("--operator", envvar=start.OPERATOR, help="An operator's file (see deploy/)."),
+    typer.Option(
+        "--operator", envvar=start.OPERATOR_FILE_VARIABLE, help="The operator's TOML file (see deploy/)."
+    ),
 ]
 
 
-def _config(operator: Path | None) -> Config:
-    """The configuration; a fault ends the command with one plain line."""
+def _load_config(operator: Path | None) -> Config:
+    """Load the configuration; an error in it ends the command with one line and exit status 2."""
     try:
         return load(operator_file=operator)
     except ConfigError as error:
@@ -34,25 +36,25 @@
 
 @app.command()
 def serve(operator: OperatorFile = None) -> None:
-    """Route requests until SIGTERM, as the environment (RELAY_CONFIG and its kin) says."""
-    early_reload.catch()
+    """Route requests until SIGTERM, configured by environment variables (RELAY_CONFIG and others)."""
+    early_reload.record_sighup()
     raise typer.Exit(start.serve(operator))
 
 
 @app.command("check-config")
 def check_config(operator: OperatorFile = None) -> None:
-    """Read the configuration as `serve` would, and say what it comes to."""
-    config = _config(operator)
+    """Read the configuration as `serve` does, and print a summary."""
+    config = _load_config(operator)
     fronts = ["http"] if config.operator.http else []
     fronts += ["kserve"] if config.operator.kserve else []
-    where = f"listens on {config.listen}"
+    endpoint = f"listens on {config.listen}"
     if config.inherited_fd is not None:
-        where = f"takes clients from the inherited descriptor {config.inherited_fd}"
+        endpoint = f"accepts clients from the inherited descriptor {config.inherited_fd}"
     if config.console:
-        where += f", operators call {config.console}"
+        endpoint += f", operator console on {config.console}"
     print(
-        f"{config.name}: {where}, fronts {', '.join(fronts)}, "
-        f"{len(config.known.targets)} engines known, {len(config.settings.classes)} classes"
+        f"{config.name}: {endpoint}, fronts {', '.join(fronts)}, "
+        f"{len(config.known.targets)} servers known, {len(config.settings.classes)} classes"
     )
 
 
--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -1,4 +1,4 @@
-"""Configuration: what the platform tells a router, and what an operator's file adds."""
+"""Configuration of a router: the platform's JSON file and environment, and the operator's TOML file."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the message is one plain line."""
+    """The configuration can't be used; the message is one line for the operator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kserve:
-    """The [kserve] table of an operator's file."""
+    """The [kserve] table of the operator's file."""
 
     listen: str
     models: tuple[str, ...]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """An operator's file. Without one the program is the platform's router and nothing else."""
+    """The settings of the operator's file; the defaults hold where there is no file."""
 
     http: bool = True
     kserve: Kserve | None = None
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The whole configuration of a router."""
+    """The configuration of a router."""
 
     name: str
     listen: str
@@ -59,25 +59,27 @@
     operator: Operator = field(default_factory=Operator)
     memory_mb: int = 192
     discovery_in_file: str = ""
-    console: str = ""  # where operators call; empty: nowhere
-    folder: str = ""  # $TMPDIR, which both processes of an upgrade share
-    inherited_fd: int | None = None  # the clients' listening socket, where the platform holds it
+    console: str = ""  # address of the operators' console; empty: no console
+    folder: str = ""  # $TMPDIR, which both processes of a takeover use
+    inherited_fd: int | None = None  # listening socket for clients, if the platform opens it
 
-    def renewed(self, new: Config) -> Config:
-        """What a running program takes over from a file read anew. The environment holds what it held at the
-        start, so a discovery that the file has changed since counts for more than RELAY_DISCOVERY.
+    def with_reloaded(self, new: Config) -> Config:
+        """Return this configuration with those values of the reloaded one that can change while serving.
+
+        The environment is still that of the start, so a discovery address that has changed in the file since
+        then takes precedence over RELAY_DISCOVERY.
         """
-        moved = new.discovery_in_file and new.discovery_in_file != self.discovery_in_file
+        discovery_changed = new.discovery_in_file and new.discovery_in_file != self.discovery_in_file
         return replace(
             self,
-            discovery=new.discovery_in_file if moved else self.discovery,
+            discovery=new.discovery_in_file if discovery_changed else self.discovery,
             discovery_in_file=new.discovery_in_file,
             sockets=new.sockets,
             memory_mb=new.memory_mb,
         )
 
-    def fixed(self, new: Config) -> list[str]:
-        """What differs in the new file and is taken over at the next start alone."""
+    def differences_for_next_start(self, new: Config) -> list[str]:
+        """Return the names of the settings that differ in `new` and take effect at the next start only."""
         return [
             name
             for name in ("name", "listen", "settings", "operator", "console")
@@ -94,14 +96,14 @@
 def _text(raw: dict[str, Any], key: str, default: str | None = None) -> str:
     value = raw.get(key, default)
     if not isinstance(value, str) or (not value and default is None):
-        raise ConfigError(f"{key} is missing or not a text")
+        raise ConfigError(f"{key} is missing or not a string")
     return value
 
 
-def _words(raw: dict[str, Any], key: str, default: tuple[str, ...]) -> tuple[str, ...]:
+def _text_list(raw: dict[str, Any], key: str, default: tuple[str, ...]) -> tuple[str, ...]:
     value = raw.get(key, list(default))
-    if not isinstance(value, list) or not all(isinstance(word, str) for word in value):
-        raise ConfigError(f"{key} is not a list of texts")
+    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
+        raise ConfigError(f"{key} is not a list of strings")
     return tuple(value)
 
 
@@ -113,36 +115,36 @@
     return text
 
 
-def _no_others(raw: dict[str, Any], known: tuple[str, ...], where: str) -> None:
+def _check_keys(raw: dict[str, Any], known: tuple[str, ...], where: str) -> None:
     for key in raw:
         if key not in known:
             raise ConfigError(f"{where} has the unknown key {key}")
 
 
-def _kserve_front(kserve: dict[str, Any], settings: Settings) -> Kserve:
-    """The front of the [kserve] table."""
+def _kserve(kserve: dict[str, Any], settings: Settings) -> Kserve:
+    """Parse and check the [kserve] table."""
     keepalive = kserve.get("keepalive_s", 30.0)
     if isinstance(keepalive, bool) or not isinstance(keepalive, int | float) or keepalive <= 0:
         raise ConfigError("[kserve] keepalive_s is not a positive number")
     front = Kserve(
         listen=_address(_text(kserve, "listen"), "[kserve] listen"),
-        models=_words(kserve, "models", ()),
+        models=_text_list(kserve, "models", ()),
         default_class=_text(kserve, "class", ""),
         default_tenant=_text(kserve, "tenant", ""),
         keepalive_s=float(keepalive),
     )
     if not front.models:
-        raise ConfigError("[kserve] models names no model")
+        raise ConfigError("[kserve] models is missing or empty")
     if front.default_class and front.default_class not in {c.name for c in settings.classes}:
-        raise ConfigError(f"[kserve] class names no class of the settings: {front.default_class}")
+        raise ConfigError(f"[kserve] class is not among the settings' classes: {front.default_class}")
     return front
 
 
 def _collector(address: str) -> str:
-    """The log's collector, empty for none; only a loopback address may be one."""
+    """Check the address of the log's collector: empty for none, else a loopback address."""
     if not address:
         return ""
-    import ipaddress  # the platform's start has no use for it
+    import ipaddress  # imported here, since a start without an operator's file doesn't need it
 
     host = split_address(_address(address, "[syslog] collector"))[0]
     try:
@@ -155,34 +157,36 @@
 
 
 def operator_from(raw: dict[str, Any], settings: Settings) -> Operator:
-    _no_others(raw, ("http", "kserve", "engines", "syslog"), "the operator's file")
+    _check_keys(raw, ("http", "kserve", "engines", "syslog"), "the operator's file")
     http = _table(raw.get("http", {}), "[http]")
     kserve = _table(raw.get("kserve", {}), "[kserve]")
     engines = _table(raw.get("engines", {}), "[engines]")
     syslog = _table(raw.get("syslog", {}), "[syslog]")
-    _no_others(http, ("enabled",), "[http]")
-    _no_others(kserve, ("enabled", "listen", "models", "class", "tenant", "keepalive_s"), "[kserve]")
-    _no_others(engines, ("protocols",), "[engines]")
-    _no_others(syslog, ("collector", "severity"), "[syslog]")
+    _check_keys(http, ("enabled",), "[http]")
+    _check_keys(kserve, ("enabled", "listen", "models", "class", "tenant", "keepalive_s"), "[kserve]")
+    _check_keys(engines, ("protocols",), "[engines]")
+    _check_keys(syslog, ("collector", "severity"), "[syslog]")
     for where, table in (("http", http), ("kserve", kserve)):
         if not isinstance(table.get("enabled", True), bool):
-            raise ConfigError(f"[{where}] enabled is neither true nor false")
-    protocols = _words(engines, "protocols", ("http",))
+            raise ConfigError(f"[{where}] enabled is not a boolean")
+    protocols = _text_list(engines, "protocols", ("http",))
     for protocol in protocols:
         if protocol not in PROTOCOLS:
             raise ConfigError(f"[engines] protocols has the unknown value {protocol}")
-    front = _kserve_front(kserve, settings) if kserve and kserve.get("enabled", True) else None
+    front = _kserve(kserve, settings) if kserve and kserve.get("enabled", True) else None
     collector = _collector(_text(syslog, "collector", ""))
     severity = _text(syslog, "severity", "info")
     if severity not in SEVERITIES:
         raise ConfigError(f"[syslog] severity has the unknown value {severity}")
     operator = Operator(bool(http.get("enabled", True)), front, protocols, collector, severity)
-    # A front whose RPCs no engine can serve would refuse every one of them: better to hear it at the start.
-    for protocol, on in (("http", operator.http), ("kserve", front is not None)):
-        if on and protocol not in protocols:
-            raise ConfigError(f"the front {protocol} is on, but [engines] protocols does not name {protocol}")
+    # A front whose protocol no server speaks would refuse every RPC, so it is an error at the start.
+    for protocol, enabled in (("http", operator.http), ("kserve", front is not None)):
+        if enabled and protocol not in protocols:
+            raise ConfigError(
+                f"the front {protocol} is enabled, but [engines] protocols does not name {protocol}"
+            )
     if not operator.http and front is None:
-        raise ConfigError("no front is on")
+        raise ConfigError("no front is enabled")
     return operator
 
 
@@ -194,7 +198,10 @@
 
 
 def load(environment: Mapping[str, str] = os.environ, operator_file: Path | None = None) -> Config:
-    """The whole configuration; ConfigError says in a line what is wrong with it."""
+    """Load the configuration from the environment, the platform's file and the operator's file.
+
+    Raises ConfigError.
+    """
     where = environment.get("RELAY_CONFIG", "")
     if not where:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -216,32 +223,32 @@
         raise ConfigError(f"{where}: seed is not a hexadecimal number: {seed!r}") from None
     limits = _table(raw.get("limits", {}), f"{where}: limits")
 
-    def limit(name: str, default: int, least: int) -> int:
+    def limit(name: str, default: int, minimum: int) -> int:
         value = limits.get(name, default)
-        if isinstance(value, bool) or not isinstance(value, int) or value < least:
-            raise ConfigError(f"{where}: limits.{name} is not a number of at least {least}: {value!r}")
+        if isinstance(value, bool) or not isinstance(value, int) or value < minimum:
+            raise ConfigError(f"{where}: limits.{name} is not an integer of at least {minimum}: {value!r}")
         return value
 
     operator = Operator()
     if operator_file is not None:
-        import tomllib  # as above
+        import tomllib  # imported here, since a start without an operator's file doesn't need it
 
         try:
             operator = operator_from(tomllib.loads(_read(operator_file).decode()), settings)
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
             raise ConfigError(f"{operator_file} is not TOML: {error}") from None
-    told = {
+    texts = {
         key: environment.get(f"RELAY_{key.upper()}") or raw.get(key)
         for key in ("name", "listen", "discovery")
     }
     console = environment.get("RELAY_CONSOLE") or raw.get("console") or ""
     inherited = environment.get("RELAY_INHERITED_FD", "")
     if inherited and not (inherited.isascii() and inherited.isdigit() and len(inherited) < 7):
-        raise ConfigError(f"RELAY_INHERITED_FD is not the number of a descriptor: {inherited!r}")
+        raise ConfigError(f"RELAY_INHERITED_FD is not a descriptor's number: {inherited!r}")
     return Config(
-        name=_text(told, "name"),
-        listen=_address(_text(told, "listen"), "listen"),
-        discovery=_address(_text(told, "discovery"), "discovery"),
+        name=_text(texts, "name"),
+        listen=_address(_text(texts, "listen"), "listen"),
+        discovery=_address(_text(texts, "discovery"), "discovery"),
         seed=seed,
         sockets=limit("sockets", 1024, 100),
         memory_mb=limit("memory_mb", 192, 16),
--- a/sorreldock/program/early_reload.py
+++ b/sorreldock/program/early_reload.py
@@ -1,30 +1,33 @@
-"""SIGHUP before and after the time in which the program listens for it."""
+"""Handling of SIGHUP before the program's own handler is installed and after it is removed."""
 
 from __future__ import annotations
 
 import signal
 from types import FrameType
 
-_early = False
+_was_received = False
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    global _early
-    _early = True
+def _record(number: int, frame: FrameType | None) -> None:
+    global _was_received
+    _was_received = True
 
 
-def catch() -> None:
-    """Guards the start: until somebody listens, SIGHUP is noted instead of ending the program."""
-    signal.signal(signal.SIGHUP, _note)
+def record_sighup() -> None:
+    """Record SIGHUP until the program handles it; by default the signal would terminate the process."""
+    signal.signal(signal.SIGHUP, _record)
 
 
-def caught() -> bool:
-    """Whether one came since it was last asked."""
-    global _early
-    was, _early = _early, False
-    return was
+def take_recorded() -> bool:
+    """Return whether SIGHUP was received since the last call, and clear the record."""
+    global _was_received
+    received, _was_received = _was_received, False
+    return received
 
 
-def ignore() -> None:
-    """Guards the exit: the interpreter gives its handlers up, and SIGHUP would end it with a failure."""
+def ignore_sighup() -> None:
+    """Ignore SIGHUP during the exit.
+
+    The interpreter removes its signal handlers then, and SIGHUP would end the process with a failure.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/sorreldock/program/phases.py
+++ b/sorreldock/program/phases.py
@@ -1,4 +1,4 @@
-"""The program's phases, from start to exit, as named states of one object."""
+"""The phases of the program from start to exit, as a state machine."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Phase(Enum):
-    """A phase of the program's life."""
+    """A phase of the program between its start and its exit."""
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINED = "drained"  # at an operator's call: answering what still comes, until the next call
-    LINGERING = "lingering"  # told to stop; still accepting, since clients learn of it late
-    DRAINING = "draining"  # nothing new; answering what was taken
+    DRAINED = "drained"  # by an operator's command: late requests are still answered, until `resume`
+    LINGERING = "lingering"  # stop requested; still accepting, since clients notice it with a delay
+    DRAINING = "draining"  # accepts nothing new; completes the requests that it has accepted
     STOPPED = "stopped"
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.STARTING: (Phase.SERVING, Phase.STOPPED),
     Phase.SERVING: (Phase.DRAINED, Phase.LINGERING),
     Phase.DRAINED: (Phase.SERVING, Phase.LINGERING),
@@ -30,7 +30,10 @@
 
 
 class Lifecycle:
-    """The present phase, and which may follow it."""
+    """The current phase and the transitions that are allowed from it.
+
+    `on_change` is called with each phase that is entered.
+    """
 
     def __init__(self, on_change: Callable[[Phase], None]) -> None:
         self.phase = Phase.STARTING
@@ -38,8 +41,8 @@
         self._on_change = on_change
 
     def enter(self, phase: Phase) -> None:
-        if phase not in NEXT[self.phase]:
-            raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
+        if phase not in TRANSITIONS[self.phase]:
+            raise RuntimeError(f"phase {self.phase.value} can't be followed by {phase.value}")
         self.phase = phase
         self._on_change(phase)
 
@@ -48,5 +51,5 @@
         return self.stop_requested.is_set() or self.phase in (Phase.LINGERING, Phase.DRAINING, Phase.STOPPED)
 
     @property
-    def takes_work(self) -> bool:
+    def is_serving(self) -> bool:
         return self.phase is Phase.SERVING
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -88,7 +88,7 @@
         self.linger_s = LINGER_S
 
     def ready(self) -> bool:
-        return self.lifecycle.takes_work and self.core.can_serve()
+        return self.lifecycle.is_serving and self.core.can_serve()
 
     def _connect(self, endpoint: str) -> dict[str, EngineClient]:
         limits = self.config.settings.limits
@@ -163,7 +163,7 @@
             self.lifecycle.enter(Phase.SERVING)
             self.serving.set()
             await self.lifecycle.stop_requested.wait()
-            self.operator_commands.stop()
+            self.operator_commands.cancel_drain()
             for front in self.fronts.values():
                 front.refuse_from = trio.current_time() + LAST_TAKEN_S
             self.lifecycle.enter(Phase.LINGERING)
@@ -255,7 +255,7 @@
 
     async def _signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            if early_reload.caught():
+            if early_reload.take_recorded():
                 self.reload()
             async for number in signals:
                 if number == signal.SIGHUP:
@@ -272,8 +272,8 @@
         except Exception as error:  # a bad file must not end a program that serves
             self.log("err", "RELOAD", "the new configuration can't be used, the old one stays", error=error)
             return
-        old, fixed = self.config, self.config.fixed(new)
-        self.config = old.renewed(new)
+        old, fixed = self.config, self.config.differences_for_next_start(new)
+        self.config = old.with_reloaded(new)
         self.budget.resize(self.config.sockets)
         self._in_company(self.takeover is not None and self.takeover.in_company)
         if self.config.discovery != old.discovery:
@@ -306,4 +306,4 @@
     try:
         trio.run(main, clock=program.system.clock)
     finally:
-        early_reload.ignore()
+        early_reload.ignore_sighup()
--- a/sorreldock/program/start.py
+++ b/sorreldock/program/start.py
@@ -1,7 +1,8 @@
-"""The start of `serve`, for the command line and for a process that is started as the platform does it.
+"""The start of `serve`, with or without the command line's library.
 
-The command line's library takes a third of the start and 11 MB, for words that `serve` has none of: at a
-restart clients wait for that third, and at an upgrade two processes hold the memory.
+`serve` without options, as the platform starts it, doesn't import that library (typer): the import takes a
+third of the start time and 11 MB. Clients wait for the start at a restart, and during an upgrade two processes
+hold the memory.
 """
 
 from __future__ import annotations
@@ -12,12 +13,15 @@
 
 from .config import ConfigError, load
 
-OPERATOR = "SORRELDOCK_OPERATOR"
+OPERATOR_FILE_VARIABLE = "SORRELDOCK_OPERATOR"
 
 
-def check_inherited(descriptor: int) -> None:
-    """ConfigError unless a listening socket is open there. For the process that serves alone: it has it."""
-    from ..transport.system import listens  # the loop's library, only where a descriptor is inherited
+def check_inherited_socket(descriptor: int) -> None:
+    """Raise ConfigError unless the inherited descriptor is a listening socket.
+
+    Only the process that serves has the descriptor, so other commands don't check it.
+    """
+    from ..transport.system import listens  # imports trio, so only where a descriptor is inherited
 
     try:
         if listens(descriptor):
@@ -28,11 +32,11 @@
 
 
 def serve(operator: Path | None) -> int:
-    """Route requests until SIGTERM; tells the exit status."""
+    """Route requests until SIGTERM, and return the exit status."""
     try:
         config = load(operator_file=operator)
         if config.inherited_fd is not None:
-            check_inherited(config.inherited_fd)
+            check_inherited_socket(config.inherited_fd)
     except ConfigError as error:
         print(f"sorreldock: {error}".replace("\n", " "), file=sys.stderr)
         return 2
@@ -50,10 +54,10 @@
 
 
 def main() -> None:
-    """`serve` without options; every other command line is the library's."""
+    """Run `serve` without options directly, and any other command line with the library."""
     if sys.argv[1:] == ["serve"]:
-        named = os.environ.get(OPERATOR)
-        sys.exit(serve(Path(named) if named else None))
+        path = os.environ.get(OPERATOR_FILE_VARIABLE)
+        sys.exit(serve(Path(path) if path else None))
     from .cli import main as command_line
 
     command_line()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -78,7 +78,7 @@
     [
         ("RELAY_INHERITED_FD", "99", "RELAY_INHERITED_FD 99: Bad file descriptor"),
         ("RELAY_INHERITED_FD", "0", "RELAY_INHERITED_FD 0"),
-        ("RELAY_INHERITED_FD", "four", "RELAY_INHERITED_FD is not the number of a descriptor"),
+        ("RELAY_INHERITED_FD", "four", "RELAY_INHERITED_FD is not a descriptor's number"),
         ("RELAY_CONSOLE", "nowhere", "console: 'nowhere' is not host:port"),
     ],
 )
@@ -100,8 +100,8 @@
 @pytest.mark.parametrize(
     "text, said",
     [
-        ('[engines]\nprotocols = ["kserve"]', "front http is on"),
-        ('[kserve]\nlisten = "127.0.0.1:1"\nmodels = ["m"]', "front kserve is on"),
+        ('[engines]\nprotocols = ["kserve"]', "front http is enabled"),
+        ('[kserve]\nlisten = "127.0.0.1:1"\nmodels = ["m"]', "front kserve is enabled"),
         ("[http]\nenabled = false", "no front"),
         ('[syslog]\ncollector = "10.0.0.1:514"', "loopback"),
         ("[htpp]", "unknown key htpp"),
