--- a/sorreldock/program/handover.py
+++ b/sorreldock/program/handover.py
@@ -1,7 +1,7 @@
-"""What two processes that are one router say to each other and agree on, without I/O.
+"""The records between the two processes of a takeover, and the rules that both follow; without I/O.
 
-A record is four bytes of length and a JSON object; the first one each way carries the version. Which ones
-there are, and who sends them, stands in docs/in-operation.md.
+A record is four bytes of length and a JSON object; the first one in each direction has the version. The kinds
+of records and their senders are listed in docs/in-operation.md.
 """
 
 from __future__ import annotations
@@ -15,51 +15,51 @@
 from ..routing.types import ResolverResult, Target
 
 VERSION = 1
-LONGEST = 1024 * 1024
-LENGTH = struct.Struct("!I")
-LEAVERS_PART = 16  # descriptors that a process which leaves may still take, for attempts of what it has taken
+MAX_RECORD_BYTES = 1024 * 1024
+LENGTH_PREFIX = struct.Struct("!I")
+LEAVING_PROCESS_DESCRIPTORS = 16  # a leaving process may take so many more, for attempts of its open requests
 
 
-class Broken(ValueError):
-    """The other side does not speak this protocol."""
+class PeerProtocolError(ValueError):
+    """The peer process doesn't follow the protocol, or the connection to it has ended."""
 
 
 def encode(kind: str, **values: Any) -> bytes:
     body = json.dumps({"kind": kind, **values}, separators=(",", ":")).encode()
-    if len(body) > LONGEST:
-        raise Broken(f"a record of {len(body)} bytes")
-    return LENGTH.pack(len(body)) + body
+    if len(body) > MAX_RECORD_BYTES:
+        raise PeerProtocolError(f"record is too long: {len(body)} bytes")
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 class Records:
-    """Cuts whole records out of what arrives."""
+    """A parser that splits received bytes into records."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        self._held += data
-        found = []
-        while len(self._held) >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self._held)
-            if length > LONGEST:
-                raise Broken(f"a record of {length} bytes")
-            end = LENGTH.size + length
-            if len(self._held) < end:
+        self._buffer += data
+        records = []
+        while len(self._buffer) >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack_from(self._buffer)
+            if length > MAX_RECORD_BYTES:
+                raise PeerProtocolError(f"record is too long: {length} bytes")
+            end = LENGTH_PREFIX.size + length
+            if len(self._buffer) < end:
                 break
             try:
-                record = json.loads(self._held[LENGTH.size : end])
+                record = json.loads(self._buffer[LENGTH_PREFIX.size : end])
             except (ValueError, RecursionError):
-                raise Broken("a record that is not JSON") from None
+                raise PeerProtocolError("record is not JSON") from None
             if not isinstance(record, dict) or not isinstance(record.get("kind"), str):
-                raise Broken("a record without a kind")
-            found.append(record)
-            del self._held[:end]
-        return found
+                raise PeerProtocolError("record has no kind")
+            records.append(record)
+            del self._buffer[:end]
+        return records
 
 
-def greeting_fault(record: dict[str, Any]) -> str:
-    """Why this first record can't be followed; empty if it can."""
+def greeting_error(record: dict[str, Any]) -> str:
+    """Return why a first record is not acceptable, or an empty string if it is."""
     if record.get("version") != VERSION:
         return f"version {record.get('version')!r}, not {VERSION}"
     if record["kind"] == "fail":
@@ -67,64 +67,66 @@
     return ""
 
 
-def number(record: dict[str, Any], name: str) -> int:
+def count_field(record: dict[str, Any], name: str) -> int:
     value = record.get(name)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise Broken(f"{name} is no number: {value!r}"[:200])
+        raise PeerProtocolError(f"{name} is not a non-negative integer: {value!r}"[:200])
     return value
 
 
-def counts(record: dict[str, Any], name: str) -> dict[int, int]:
+def counts_field(record: dict[str, Any], name: str) -> dict[int, int]:
     value = record.get(name)
-    if not isinstance(value, dict) or not all(isinstance(n, int) for n in value.values()):
-        raise Broken(f"{name} holds no counts")
+    if not isinstance(value, dict) or not all(isinstance(count, int) for count in value.values()):
+        raise PeerProtocolError(f"{name} is not a map of counts")
     try:
-        return {int(key): n for key, n in value.items()}
+        return {int(key): count for key, count in value.items()}
     except ValueError:
-        raise Broken(f"{name} holds no counts") from None
+        raise PeerProtocolError(f"{name} is not a map of counts") from None
 
 
-def portion(usable: int, used: int, leaving: bool, others_used: int, other_leaves: bool) -> int:
-    """How many of the descriptors that both may use together this process may use by itself.
+def descriptor_share(usable: int, used: int, leaving: bool, peer_used: int, peer_leaving: bool) -> int:
+    """Return how many of the `usable` descriptors of both processes this process may use.
 
-    While both serve, each has half, and whoever holds more lets go before the other one can have it. Of one
-    that leaves, what it holds counts, and it takes nothing new but for attempts of what it has taken.
+    While both serve, each has half, and a process that uses more releases some before the other one can have
+    them. A leaving process keeps what it uses, and takes new ones only for attempts of its open requests.
     """
     if leaving:
-        return used + LEAVERS_PART
-    if other_leaves:
-        return max(usable - others_used - LEAVERS_PART, LEAVERS_PART)
-    return max(usable - max(others_used, usable // 2), LEAVERS_PART)
+        return used + LEAVING_PROCESS_DESCRIPTORS
+    if peer_leaving:
+        return max(usable - peer_used - LEAVING_PROCESS_DESCRIPTORS, LEAVING_PROCESS_DESCRIPTORS)
+    return max(usable - max(peer_used, usable // 2), LEAVING_PROCESS_DESCRIPTORS)
 
 
-class Notices:
-    """The drain rule across both processes: what one of them has been told of an engine's end holds for the
-    other, whose own watch may be behind.
+class DrainNotices:
+    """Drain notices that peer processes have sent.
+
+    The drain rule holds for both processes together: once one of them has received the end of a server from
+    discovery, the other one may not send to it either, though its own watch may be behind.
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[int, float]] = {}  # by uid: the list's version, the engine's start
+        self._received: dict[str, tuple[int, float]] = {}  # by uid: the list's version, the server's start
 
-    def news(self, result: ResolverResult) -> tuple[Target, ...]:
-        """The ends of engines in what this process was told by discovery, for the other one."""
+    def notices_in(self, result: ResolverResult) -> tuple[Target, ...]:
+        """Return the targets of a result that are ending, to be sent to the peer processes."""
         return tuple(t for t in result.targets if t.state is not ReplicaState.READY)
 
-    def heard(self, result: ResolverResult) -> None:
-        """The other process was told this."""
+    def receive(self, result: ResolverResult) -> None:
+        """Record the notices that a peer process has sent."""
         for target in result.targets:
-            version, _ = self._told.get(target.uid, (-1, 0.0))
+            version, _ = self._received.get(target.uid, (-1, 0.0))
             if result.version > version:
-                self._told[target.uid] = result.version, target.started_at
+                self._received[target.uid] = result.version, target.started_at
 
-    def held(self, result: ResolverResult) -> ResolverResult:
-        """This process's own result, without what is older than such a notice."""
-        if result.kind is ListKind.LOST or not self._told:
+    def without_outdated(self, result: ResolverResult) -> ResolverResult:
+        """Return a result of this process's watch without targets that are older than their notice."""
+        if result.kind is ListKind.LOST or not self._received:
             return result
         kept = []
         for target in result.targets:
-            version, started_at = self._told.get(target.uid, (-1, 0.0))
+            version, started_at = self._received.get(target.uid, (-1, 0.0))
             if result.version >= version or target.started_at > started_at:
-                self._told.pop(target.uid, None)
+                self._received.pop(target.uid, None)
                 kept.append(target)
             elif target.state is not ReplicaState.READY:
                 kept.append(target)
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -232,18 +232,18 @@
 
     async def _follow(self, inherited: int) -> None:
         """Where the platform holds the clients' socket, another process may serve on it, now or later."""
-        from .takeover import Takeover, adopter  # elsewhere it is not loaded
+        from .takeover import Takeover, connection_adopter  # elsewhere it is not loaded
 
         folder = self.config.folder or "/tmp"
         self.takeover = Takeover(
             folder, self.core, self.resolver, self.budget, self.log, self.system.pid, self._in_company
         )
         await self.takeover.follow()
-        adopt = adopter(self.listeners["http"], self.fronts["http"], self.budget, self._nursery)
+        adopt = connection_adopter(self.listeners["http"], self.fronts["http"], self.budget, self._nursery)
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
     def _resolved(self, result: ResolverResult) -> None:
-        self.core.resolved(result if self.takeover is None else self.takeover.took(result))
+        self.core.resolved(result if self.takeover is None else self.takeover.on_watch_result(result))
 
     def _in_company(self, others: bool) -> None:
         """Memory, like descriptors, is counted for both processes of a router together."""
--- a/sorreldock/program/start.py
+++ b/sorreldock/program/start.py
@@ -1,8 +1,8 @@
 """The start of `serve`, with or without the command line's library.
 
 `serve` without options, as the platform starts it, doesn't import that library (typer): the import takes a
-third of the start time and 11 MB. Clients wait for the start at a restart, and during an upgrade two processes
-hold the memory.
+third of the start time and 11 MB. Clients wait for the start at a restart, and during an upgrade two
+processes hold the memory.
 """
 
 from __future__ import annotations
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -1,4 +1,8 @@
-"""The process that follows and the one it follows: a Unix socket in `$TMPDIR`, and the records on it."""
+"""The takeover between two processes of a router, over a Unix socket in `$TMPDIR`.
+
+The successor receives the predecessor's state and its clients' connections; until the predecessor exits, both
+exchange their use of shared limits and the servers' drain notices.
+"""
 
 from __future__ import annotations
 
@@ -23,49 +27,55 @@
 from ..transport.failures import repeated
 from ..transport.listener import Listener
 from . import handover
-from .handover import Broken
+from .handover import PeerProtocolError
 
-NAME = "sorreldock-takeover.sock"
-ANSWER_S = 1.0  # for the predecessor's state: it is told to stop once this process says yes, within 6 s
-SEND_S = 1.0
-TELL_S = 0.2
-MOST_CALLERS = 2
-MOST_FDS = 32  # in one read
-NUMBER = array.array("i").itemsize
+SOCKET_NAME = "sorreldock-takeover.sock"
+# For the predecessor's state. The platform stops the predecessor once this process is ready, which has to be
+# within 6 s.
+ANSWER_TIMEOUT_S = 1.0
+SEND_TIMEOUT_S = 1.0
+UPDATE_INTERVAL_S = 0.2
+MAX_CALLERS = 2
+MAX_DESCRIPTORS_PER_READ = 32
+DESCRIPTOR_BYTES = array.array("i").itemsize
 
 
 class Link:
-    """A connection to the other process."""
+    """A connection to a peer process, with what that process has reported last."""
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
         self._sock = sock
         self._lock = trio.Lock()
         self._records = handover.Records()
-        self._fds: deque[int] = deque()
+        self._descriptors: deque[int] = deque()
         self._waiting: deque[dict[str, Any]] = deque()
-        self.used = 0  # descriptors, as last told
-        self.leaving = False
-        self.out: dict[int, int] = {}
-        # Ends of engines that are not told on this link yet, by uid: one an engine, so none is ever dropped.
-        self.news: dict[str, tuple[int, Target]] = {}
+        self.peer_descriptors = 0
+        self.peer_leaving = False
+        self.peer_attempts: dict[int, int] = {}  # open attempts by replica
+        # Drain notices that aren't sent on this link yet, by uid. There is one per server, so the queue needs no
+        # bound and no notice is dropped.
+        self.pending_notices: dict[str, tuple[int, Target]] = {}
         self.wake = trio.Event()
 
     async def connect(self, path: str) -> None:
         await self._sock.connect(path)
 
     async def send(self, kind: str, descriptor: int | None = None, **values: Any) -> bool:
-        """Write a record. What can't be written whole ends the link: the other side would lose its place."""
+        """Write a record, and return whether it was written.
+
+        A record that is written in part closes the link, since the peer couldn't find the next one.
+        """
         try:
             data = memoryview(handover.encode(kind, **values))
-        except Broken:
-            return False  # too long; nothing was written
+        except PeerProtocolError:
+            return False  # the record is too long; nothing was written
         async with self._lock:
-            with trio.move_on_after(SEND_S):
+            with trio.move_on_after(SEND_TIMEOUT_S):
                 try:
-                    rights = []
+                    ancillary = []
                     if descriptor is not None:
-                        rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-                    data = data[await repeated(partial(self._sock.sendmsg, [data], rights)) :]
+                        ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
+                    data = data[await repeated(partial(self._sock.sendmsg, [data], ancillary)) :]
                     while data:
                         data = data[await repeated(partial(self._sock.send, data)) :]
                     return True
@@ -75,38 +85,46 @@
             return False
 
     async def receive(self) -> tuple[dict[str, Any], int]:
-        """The next record and its descriptor (-1: none); Broken at the link's end."""
+        """Return the next record and its descriptor, or -1 for a record without one.
+
+        Raises PeerProtocolError for a malformed record and when the link is closed.
+        """
         while not self._waiting:
             try:
-                space = socket.CMSG_SPACE(MOST_FDS * NUMBER)
-                data, rights, flags, _ = await repeated(partial(self._sock.recvmsg, 65536, space))
+                ancillary_bytes = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_READ * DESCRIPTOR_BYTES)
+                data, ancillary, flags, _ = await repeated(
+                    partial(self._sock.recvmsg, 65536, ancillary_bytes)
+                )
             except (OSError, trio.ClosedResourceError) as error:
-                raise Broken(str(error) or "closed") from None
-            for level, kind, payload in rights:
+                raise PeerProtocolError(str(error) or "closed") from None
+            for level, kind, payload in ancillary:
                 if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                    got = array.array("i")
-                    got.frombytes(payload[: len(payload) - len(payload) % NUMBER])
-                    self._fds.extend(got)
+                    descriptors = array.array("i")
+                    descriptors.frombytes(payload[: len(payload) - len(payload) % DESCRIPTOR_BYTES])
+                    self._descriptors.extend(descriptors)
             if flags & socket.MSG_CTRUNC:
-                raise Broken("descriptors were cut off")
+                raise PeerProtocolError("descriptors were truncated")
             if not data:
-                raise Broken("the other process has ended")
+                raise PeerProtocolError("closed by the peer process")
             self._waiting.extend(self._records.feed(data))
         record = self._waiting.popleft()
         if record["kind"] != "connection":
             return record, -1
-        if not self._fds:
-            raise Broken("a connection without its descriptor")
-        return record, self._fds.popleft()
+        if not self._descriptors:
+            raise PeerProtocolError("record of a connection has no descriptor")
+        return record, self._descriptors.popleft()
 
     def close(self) -> None:
         self._sock.close()
-        while self._fds:  # come, and nobody will take them
-            os.close(self._fds.popleft())
+        while self._descriptors:  # received, but not taken by a reader
+            os.close(self._descriptors.popleft())
 
 
 class Takeover:
-    """Follows a process of the same router, and lets another follow."""
+    """Takes over from a predecessor, and hands over to a successor, of the same router.
+
+    `on_peer_change` is called with whether a peer process is connected.
+    """
 
     def __init__(
         self,
@@ -116,47 +134,53 @@
         budget: Descriptors,
         log: Log,
         pid: int,
-        in_company: Callable[[bool], None],
+        on_peer_change: Callable[[bool], None],
     ) -> None:
-        self._path = os.path.join(folder, NAME)
+        self._path = os.path.join(folder, SOCKET_NAME)
         self._core, self._resolver, self._budget = core, resolver, budget
         self._log, self._pid = log, pid
-        self._in_company = in_company
-        self._notices = handover.Notices()
+        self._on_peer_change = on_peer_change
+        self._notices = handover.DrainNotices()
         self._links: list[Link] = []
         self._successor: Link | None = None
         self._predecessor: Link | None = None
         self._leaving = False
-        self._own = (0, 0)  # the socket file, to be taken away only while it is this process's
-        self._least = 1 << 30  # descriptors that this process may have at the most, once it leaves
+        self._socket_file_id = (0, 0)  # device and inode of this process's socket file
+        self._leaving_limit = (
+            1 << 30
+        )  # once this process leaves: its maximum of descriptors, which only falls
         self._front: Front[Any] | None = None
 
-    # As the process that follows.
+    # As the successor.
 
     async def follow(self) -> None:
-        """Hear what the predecessor knows. Whatever is wrong with it, this process can work alone."""
+        """Receive the predecessor's state; after any failure this process works alone."""
         if not os.path.exists(self._path):
             return
         link = Link(trio.socket.socket(socket.AF_UNIX))
-        why = f"no answer in {ANSWER_S:g} s"
-        with trio.move_on_after(ANSWER_S):
+        fault = f"no answer in {ANSWER_TIMEOUT_S:g} s"
+        with trio.move_on_after(ANSWER_TIMEOUT_S):
             try:
                 await link.connect(self._path)
                 await link.send("hello", version=handover.VERSION, pid=self._pid)
                 record, _ = await link.receive()
-                why = handover.greeting_fault(record)
-                if not why:
-                    self._take(record)
+                fault = handover.greeting_error(record)
+                if not fault:
+                    self._restore(record)
                     self._predecessor = link
-                    self._add(link)
+                    self.add_link(link)
                     self._log("notice", "TAKEOVER", "follows a process that serves", pid=record.get("pid"))
                     return
-            except (OSError, Broken, ListError) as error:  # a dead one's file, or one of another make
-                why = str(error)
+            except (
+                OSError,
+                PeerProtocolError,
+                ListError,
+            ) as error:  # such as the file of a dead process, or an incompatible build
+                fault = str(error)
         link.close()
-        self._log("notice", "TAKEOVER", "no process to follow, working alone", reason=why)
+        self._log("notice", "TAKEOVER", "no process to follow, working alone", reason=fault)
 
-    def _take(self, state: dict[str, Any]) -> None:
+    def _restore(self, state: dict[str, Any]) -> None:
         result = decode_result(state.get("list"), ListKind.CACHED)
         self._resolver.follow(result.version)
         self._core.resolved(result)
@@ -165,88 +189,94 @@
             self._core.restore(learned)
 
     async def run(self, nursery: trio.Nursery, adopt: Callable[[int], None]) -> None:
-        """Stay in touch with the predecessor, and answer the process that will follow this one."""
+        """Exchange records with the predecessor, and accept a successor."""
         if self._predecessor is not None:
-            nursery.start_soon(self._converse, self._predecessor, adopt)
+            nursery.start_soon(self._run_link, self._predecessor, adopt)
         try:
             listener = await self._listen()
         except OSError as error:
             self._log("err", "TAKEOVER", "no process can follow this one", reason=error)
             return
-        room = trio.CapacityLimiter(MOST_CALLERS)
+        slots = trio.CapacityLimiter(MAX_CALLERS)
         try:
             with listener:
                 while True:
-                    await room.acquire_on_behalf_of(caller := object())
+                    await slots.acquire_on_behalf_of(caller := object())
                     try:
                         sock, _ = await listener.accept()
                     except OSError:
-                        room.release_on_behalf_of(caller)
+                        slots.release_on_behalf_of(caller)
                         await trio.sleep(0.1)
                         continue
-                    nursery.start_soon(self._attend, sock, room, caller)
+                    nursery.start_soon(self._answer_caller, sock, slots, caller)
         finally:
-            self._forget_file()
+            self._remove_socket_file()
 
     async def _listen(self) -> trio.socket.SocketType:
-        """The file is put in place whole, over a dead process's or the predecessor's own."""
+        """Listen on the socket's path.
+
+        The file is bound under a temporary name and renamed over that of the predecessor or of a dead process,
+        so that the path is always that of a listening socket.
+        """
         listener = trio.socket.socket(socket.AF_UNIX)
-        passing = f"{self._path}.{self._pid}"
+        temporary_path = f"{self._path}.{self._pid}"
         try:
-            await listener.bind(passing)
-            listener.listen(MOST_CALLERS)
-            os.chmod(passing, 0o600)
-            found = os.stat(passing)
-            os.rename(passing, self._path)
+            await listener.bind(temporary_path)
+            listener.listen(MAX_CALLERS)
+            os.chmod(temporary_path, 0o600)
+            status = os.stat(temporary_path)
+            os.rename(temporary_path, self._path)
         except OSError:
             listener.close()
             raise
-        self._own = found.st_dev, found.st_ino
+        self._socket_file_id = status.st_dev, status.st_ino
         return listener
 
-    def _forget_file(self) -> None:
+    def _remove_socket_file(self) -> None:
         try:
-            found = os.stat(self._path)
-            if (found.st_dev, found.st_ino) == self._own:
+            status = os.stat(self._path)
+            if (status.st_dev, status.st_ino) == self._socket_file_id:
                 os.unlink(self._path)
         except OSError:
             pass
 
-    # As the process that is followed.
+    # As the predecessor.
 
-    async def _attend(self, sock: trio.socket.SocketType, room: trio.CapacityLimiter, caller: object) -> None:
+    async def _answer_caller(
+        self, sock: trio.socket.SocketType, slots: trio.CapacityLimiter, caller: object
+    ) -> None:
         link = Link(sock)
         try:
-            with trio.move_on_after(ANSWER_S) as silence:
+            with trio.move_on_after(ANSWER_TIMEOUT_S) as timeout_scope:
                 record, _ = await link.receive()
-            if silence.cancelled_caught:
+            if timeout_scope.cancelled_caught:
                 return
-            why = handover.greeting_fault(record)
-            if not why and (self._successor is not None or self._leaving):
-                why = "another process follows already" if self._successor is not None else "stopping"
-            if why:
-                await link.send("fail", version=handover.VERSION, why=why)
+            fault = handover.greeting_error(record)
+            if not fault and (self._successor is not None or self._leaving):
+                fault = "another process follows already" if self._successor is not None else "stopping"
+            if fault:
+                await link.send("fail", version=handover.VERSION, why=fault)
                 return
             listing = {**encode_result(self._core.listing()), "rev": self._resolver.version}
             state: dict[str, Any] = {"version": handover.VERSION, "pid": self._pid, "list": listing}
             self._successor = link
             if not await link.send("state", None, **state, learned=self._core.snapshot()):
-                await link.send("state", None, **state)  # more than a record may hold
-            self._add(link)
+                await link.send("state", None, **state)  # with what is learned the record was too long
+            self.add_link(link)
             self._log("notice", "TAKEOVER", "another process follows", pid=record.get("pid"))
-            await self._converse(link, None)
-        except Broken as error:
-            self._log("notice", "TAKEOVER", "a caller that does not follow", reason=error)
+            await self._run_link(link, None)
+        except PeerProtocolError as error:
+            self._log("notice", "TAKEOVER", "rejected a caller that is not a successor", reason=error)
         finally:
-            room.release_on_behalf_of(caller)
+            slots.release_on_behalf_of(caller)
             if self._successor is link:
                 self._successor = None
-                if self._front is not None:  # nobody takes them any more: answers say that they end
+                if self._front is not None:  # without a successor, answers announce a close again
                     self._front.passed_on = None
             link.close()
 
     def leave(self, front: Front[Any]) -> bool:
-        """This process is told to stop: connections go to the one that follows, if one does."""
+        """Start to pass connections on to the successor; return False if there is none."""
         if self._successor is None:
             return False
         self._leaving, self._front = True, front
@@ -259,101 +289,114 @@
         link = self._successor
         return link is not None and await link.send("connection", connection.fileno())
 
-    # Both.
+    # In both roles.
 
-    def took(self, result: ResolverResult) -> ResolverResult:
-        """A result of this process's own watch, on its way to the core."""
-        held = self._notices.held(result)
-        ends = self._notices.news(held)
+    def on_watch_result(self, result: ResolverResult) -> ResolverResult:
+        """Apply the peers' drain notices to a result of this process's watch, and queue its own for them."""
+        current = self._notices.without_outdated(result)
+        ends = self._notices.notices_in(current)
         for link in self._links if ends else ():
-            link.news |= {target.uid: (held.version, target) for target in ends}
+            link.pending_notices |= {target.uid: (current.version, target) for target in ends}
             link.wake.set()
-        return held
+        return current
 
-    def _add(self, link: Link) -> None:
+    def add_link(self, link: Link) -> None:
         self._links.append(link)
-        self._agree()
+        self._apply_limits()
 
     @property
-    def in_company(self) -> bool:
+    def has_peer(self) -> bool:
         return bool(self._links)
 
-    def _agree(self) -> None:
-        """The rules of one router, by what the others told last."""
-        others = self._links
-        self._in_company(bool(others))
-        if others:
-            out: dict[int, int] = {}
-            for link in others:
-                for replica, count in link.out.items():
-                    out[replica] = out.get(replica, 0) + count
-            self._core.out_elsewhere(out)
-            used, leave = sum(link.used for link in others), all(link.leaving for link in others)
-            usable = self._budget.usable_with(len(others))
-            mine = sum(self._budget.used.values())
-            portion = handover.portion(usable, mine, self._leaving, used, leave)
-            if self._leaving:  # what it has let go is the other one's
-                portion = self._least = min(portion, self._least)
-            self._budget.share(portion, self._leaving)
+    def _apply_limits(self) -> None:
+        """Update the limits that hold for all processes of the router together, by the peers' last reports."""
+        links = self._links
+        self._on_peer_change(bool(links))
+        if links:
+            open_elsewhere: dict[int, int] = {}
+            for link in links:
+                for replica, count in link.peer_attempts.items():
+                    open_elsewhere[replica] = open_elsewhere.get(replica, 0) + count
+            self._core.out_elsewhere(open_elsewhere)
+            used_by_peers, peers_leaving = (
+                sum(link.peer_descriptors for link in links),
+                all(link.peer_leaving for link in links),
+            )
+            usable = self._budget.usable_with(len(links))
+            own_used = sum(self._budget.used.values())
+            own_share = handover.descriptor_share(
+                usable, own_used, self._leaving, used_by_peers, peers_leaving
+            )
+            if self._leaving:  # what it has released is the successor's
+                own_share = self._leaving_limit = min(own_share, self._leaving_limit)
+            self._budget.share(own_share, self._leaving)
             if not self._leaving:
                 self._budget.let_go()
         else:
             self._core.out_elsewhere({})
             self._budget.share(None)
 
-    async def _converse(self, link: Link, adopt: Callable[[int], None] | None) -> None:
+    async def _run_link(self, link: Link, adopt: Callable[[int], None] | None) -> None:
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._tell, link)
+                nursery.start_soon(self._send_updates, link)
                 while True:
                     try:
-                        await self._hear(link, adopt)
-                    except (Broken, ListError) as error:
-                        self._log("notice", "TAKEOVER", "the other process is out of touch", reason=error)
+                        await self._handle_record(link, adopt)
+                    except (PeerProtocolError, ListError) as error:
+                        self._log(
+                            "notice", "TAKEOVER", "the connection to the peer process has ended", reason=error
+                        )
                         break
                 nursery.cancel_scope.cancel()
         finally:
             self._links.remove(link)
             link.close()
-            self._agree()
+            self._apply_limits()
 
-    async def _hear(self, link: Link, adopt: Callable[[int], None] | None) -> None:
+    async def _handle_record(self, link: Link, adopt: Callable[[int], None] | None) -> None:
         record, descriptor = await link.receive()
         match record["kind"]:
             case "tell":
-                link.used, link.out = handover.number(record, "used"), handover.counts(record, "out")
-                link.leaving = record.get("leaving") is True
-                self._agree()
+                link.peer_descriptors, link.peer_attempts = (
+                    handover.count_field(record, "used"),
+                    handover.counts_field(record, "out"),
+                )
+                link.peer_leaving = record.get("leaving") is True
+                self._apply_limits()
             case "news":
                 result = decode_result(record.get("list"), ListKind.DELTA)
-                self._notices.heard(result)
+                self._notices.receive(result)
                 self._core.resolved(result)
             case "connection":
-                if adopt is None:  # only a predecessor has any to pass on
+                if adopt is None:  # only a predecessor passes connections on
                     os.close(descriptor)
                 else:
                     adopt(descriptor)
 
-    async def _tell(self, link: Link) -> None:
+    async def _send_updates(self, link: Link) -> None:
         while True:
             link.wake = trio.Event()
-            news, link.news = sorted(link.news.values(), key=lambda told: told[0]), {}
-            for version, told in groupby(news, key=lambda told: told[0]):
-                ends = ResolverResult(ListKind.DELTA, tuple(target for _, target in told), version)
+            notices, link.pending_notices = (
+                sorted(link.pending_notices.values(), key=lambda notice: notice[0]),
+                {},
+            )
+            for version, group in groupby(notices, key=lambda notice: notice[0]):
+                ends = ResolverResult(ListKind.DELTA, tuple(target for _, target in group), version)
                 await link.send("news", list=encode_result(ends))
-            self._agree()
-            out = {str(replica): count for replica, count in self._core.out().items()}
-            used = sum(self._budget.used.values())
-            if not await link.send("tell", used=used, leaving=self._leaving, out=out):
+            self._apply_limits()
+            open_attempts = {str(replica): count for replica, count in self._core.out().items()}
+            own_used = sum(self._budget.used.values())
+            if not await link.send("tell", used=own_used, leaving=self._leaving, out=open_attempts):
                 return
-            with trio.move_on_after(TELL_S):
+            with trio.move_on_after(UPDATE_INTERVAL_S):
                 await link.wake.wait()
 
 
-def adopter(
+def connection_adopter(
     listener: Listener, front: Front[Any], budget: Descriptors, nursery: trio.Nursery
 ) -> Callable[[int], None]:
-    """Takes over a client's connection that the predecessor has passed on."""
+    """Return a function that takes over a client's connection from its descriptor."""
 
     def adopt(descriptor: int) -> None:
         budget.adopt(Use.CLIENT)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -35,7 +35,7 @@
 }
 
 
-def written(tmp_path: Path, **changes: Any) -> dict[str, str]:
+def write_config(tmp_path: Path, **changes: Any) -> dict[str, str]:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**GOOD, **changes}))
     return {"RELAY_CONFIG": str(path)}
@@ -54,7 +54,7 @@
 
 def test_the_commands(tmp_path: Path) -> None:
     assert command("version").stdout.strip() == "0.2.0"
-    checked = command("check-config", **written(tmp_path))
+    checked = command("check-config", **write_config(tmp_path))
     assert (checked.returncode, checked.stdout.startswith("n3: listens on 127.0.0.1:0")) == (0, True)
 
 
@@ -69,7 +69,7 @@
     ],
 )
 def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, changes: dict[str, Any], said: str) -> None:
-    done = command("serve", **written(tmp_path, **changes))
+    done = command("serve", **write_config(tmp_path, **changes))
     assert done.returncode != 0 and done.stderr.count("\n") == 1 and said in done.stderr
 
 
@@ -83,16 +83,16 @@
     ],
 )
 def test_bad_operators_settings_end_with_status_2(tmp_path: Path, name: str, value: str, said: str) -> None:
-    done = command("serve", **written(tmp_path), **{name: value})
+    done = command("serve", **write_config(tmp_path), **{name: value})
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and said in done.stderr
     if not value.isdigit():  # a descriptor's number is looked at by `serve` alone
-        assert command("check-config", **written(tmp_path), **{name: value}).returncode == 2
+        assert command("check-config", **write_config(tmp_path), **{name: value}).returncode == 2
 
 
 def test_a_taken_port_is_one_plain_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        done = command("serve", **written(tmp_path, listen=listen))
+        done = command("serve", **write_config(tmp_path, listen=listen))
     assert done.returncode != 0 and done.stderr.splitlines()[-1].startswith("sorreldock: ")
     assert "Traceback" not in done.stderr
 
@@ -113,9 +113,9 @@
 
 
 def test_the_operators_file_that_we_ship_is_read(tmp_path: Path) -> None:
-    config = load(written(tmp_path), ROOT / "deploy" / "operator-kserve.toml")
+    config = load(write_config(tmp_path), ROOT / "deploy" / "operator-kserve.toml")
     assert config.operator.kserve is not None and config.operator.collector
-    assert load(written(tmp_path)).operator == Operator()
+    assert load(write_config(tmp_path)).operator == Operator()
 
 
 def test_phases_have_one_way() -> None:
@@ -170,7 +170,7 @@
     engine = ScriptedServer()
     discovery = Discovery(engine)
     async with engine.open(), discovery.open():
-        env = written(tmp_path, discovery=discovery.address, known=discovery.listing())
+        env = write_config(tmp_path, discovery=discovery.address, known=discovery.listing())
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "sorreldock", "serve"],
             cwd=ROOT,
@@ -195,7 +195,7 @@
     assert all(line.startswith("<") and line.split()[0].endswith(">1") for line in lines)
 
 
-async def until(process: Any, said: bytes, word: bytes) -> bytes:
+async def read_log_until(process: Any, said: bytes, word: bytes) -> bytes:
     while word not in said:
         more = await process.stderr.receive_some(4096)
         assert more, said
@@ -208,28 +208,28 @@
     engine = ScriptedServer()
     first, second = Discovery(engine), Discovery(engine)
     async with engine.open(), first.open(), second.open():
-        env = written(tmp_path, discovery=first.address, known=first.listing())
+        env = write_config(tmp_path, discovery=first.address, known=first.listing())
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "sorreldock", "serve"],
             cwd=ROOT,
             stderr=subprocess.PIPE,
             env={**os.environ, **env, "RELAY_DISCOVERY": first.address},
         )
-        said = await until(process, b"", b"serving")
+        said = await read_log_until(process, b"", b"serving")
         await first.watching.wait()
         for bad in ("{", json.dumps({**GOOD, "settings": {}})):
             (tmp_path / "config.json").write_text(bad)
             process.send_signal(signal.SIGHUP)
-            said = await until(process, said[-20:], b"the old one stays")
+            said = await read_log_until(process, said[-20:], b"the old one stays")
         assert not second.watches
         for discovery in (second, first):  # the file counts for more than the environment of the start
             before = discovery.watches
-            written(tmp_path, discovery=discovery.address)
+            write_config(tmp_path, discovery=discovery.address)
             process.send_signal(signal.SIGHUP)
             while discovery.watches == before:
                 await trio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
-        said = await until(process, b"", b"lingering")
+        said = await read_log_until(process, b"", b"lingering")
         process.send_signal(signal.SIGHUP)
         async for _ in process.stderr:
             pass
@@ -254,9 +254,9 @@
         [sys.executable, "-B", "-c", code],
         cwd=ROOT,
         stderr=subprocess.PIPE,
-        env={**os.environ, **written(tmp_path)},
+        env={**os.environ, **write_config(tmp_path)},
     )
-    await until(process, b"", b"read anew")
+    await read_log_until(process, b"", b"read anew")
     process.send_signal(signal.SIGTERM)
     async for _ in process.stderr:
         pass
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Stories of two processes that are one router: on real processes, and on their records alone."""
+"""Tests of the takeover between two processes of a router: with real processes, and of its records alone."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     stream_until,
     trio_test,
 )
-from test_program import ROOT, until, written
+from test_program import ROOT, read_log_until, write_config
 
 from sorreldock.interface import ListKind, ReplicaState
 from sorreldock.program import handover
-from sorreldock.program.takeover import NAME, Link, Takeover
+from sorreldock.program.takeover import SOCKET_NAME, Link, Takeover
 from sorreldock.routing.types import ResolverResult, Target
 from sorreldock.transport.budget import Descriptors, Use
 
@@ -39,13 +39,13 @@
 
 
 @dataclass
-class Site:
-    """A platform that holds the clients' socket, and starts processes on it."""
+class Platform:
+    """A platform that opens the clients' listening socket and starts router processes on it."""
 
     address: str
     environment: dict[str, str]
-    held: socket.socket
-    engine: ScriptedServer
+    listener: socket.socket
+    server: ScriptedServer
     processes: list[Any] = field(default_factory=list)
 
     async def start(self, ready: bytes = b" serving") -> tuple[Any, bytes]:
@@ -54,10 +54,10 @@
             cwd=ROOT,
             stderr=subprocess.PIPE,
             env={**os.environ, **self.environment},
-            pass_fds=[self.held.fileno()],
+            pass_fds=[self.listener.fileno()],
         )
         self.processes.append(process)
-        return process, await until(process, b"", ready)
+        return process, await read_log_until(process, b"", ready)
 
     async def connect(self) -> HttpConnection:
         host, port = self.address.rsplit(":", 1)
@@ -65,146 +65,152 @@
 
 
 @asynccontextmanager
-async def site(tmp_path: Path) -> AsyncIterator[Site]:
-    engine = ScriptedServer()
-    discovery = Discovery(engine)
-    with socket.create_server(("127.0.0.1", 0)) as held:
-        address = f"127.0.0.1:{held.getsockname()[1]}"
-        async with engine.open(), discovery.open():
-            environment = written(
+async def running_platform(tmp_path: Path) -> AsyncIterator[Platform]:
+    server = ScriptedServer()
+    discovery = Discovery(server)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        async with server.open(), discovery.open():
+            environment = write_config(
                 tmp_path,
                 discovery=discovery.address,
                 known=discovery.listing(),
                 listen=address,
                 console="127.0.0.1:0",
             )
-            environment.update(RELAY_INHERITED_FD=str(held.fileno()), TMPDIR=str(tmp_path))
-            made = Site(address, environment, held, engine)
+            environment.update(RELAY_INHERITED_FD=str(listener.fileno()), TMPDIR=str(tmp_path))
+            created = Platform(address, environment, listener, server)
             try:
-                yield made
+                yield created
             finally:
-                for process in made.processes:
+                for process in created.processes:
                     if process.returncode is None:
                         process.kill()
                         await process.wait()
 
 
-def ask(name: str) -> list[h11.Event]:
+def post_events(name: str) -> list[h11.Event]:
     return [request("POST", POST, b"", {**FIELDS, "x_trace_id": name}), h11.EndOfMessage()]
 
 
-async def served(wire: HttpConnection, name: str) -> None:
-    await wire.send(*ask(name))
+async def assert_served(wire: HttpConnection, name: str) -> None:
+    await wire.send(*post_events(name))
     assert (await read_answer(wire)).whole
 
 
 @trio_test
-async def test_no_connection_is_refused_reset_or_left_unread_when_one_process_follows_another(
+async def test_no_connection_is_refused_reset_or_left_unread_during_a_takeover(
     tmp_path: Path,
 ) -> None:
     finish = trio.Event()
-    slowly = stream_until(finish)
-    async with site(tmp_path) as here:
-        first, _ = await here.start()
-        idle, busy, half, unread = [await here.connect() for _ in range(4)]
-        await served(idle, "idle")
-        here.engine.scripts.append(slowly)
-        await busy.send(*ask("busy"))
+    script = stream_until(finish)
+    async with running_platform(tmp_path) as platform:
+        first, _ = await platform.start()
+        idle, busy, partial_request, unread = [await platform.connect() for _ in range(4)]
+        await assert_served(idle, "idle")
+        platform.server.scripts.append(script)
+        await busy.send(*post_events("busy"))
         assert (await busy.next()).status_code == 200
-        [head, _] = ask("half")
-        await half.stream.send_all((half.parser.send(head) or b"")[:40])
-        second, said = await here.start()
-        assert b"follows a process that serves" in said
+        [head, _] = post_events("half")
+        await partial_request.stream.send_all((partial_request.parser.send(head) or b"")[:40])
+        second, log = await platform.start()
+        assert b"follows a process that serves" in log
         first.send_signal(signal.SIGTERM)
-        await until(first, b"", b" draining")
+        await read_log_until(first, b"", b" draining")
         finish.set()
         assert isinstance(await busy.next(), h11.Data)
         while not isinstance(await busy.next(), h11.EndOfMessage):
             pass
-        half.parser = h11.Connection(h11.CLIENT)
-        await half.stream.send_all((half.parser.send(head) or b"")[40:])
-        await half.send(h11.EndOfMessage())
-        got = await read_answer(half)
-        assert got.whole and "connection" not in got.headers
-        await served(unread, "unread")
+        partial_request.parser = h11.Connection(h11.CLIENT)
+        await partial_request.stream.send_all((partial_request.parser.send(head) or b"")[40:])
+        await partial_request.send(h11.EndOfMessage())
+        answer = await read_answer(partial_request)
+        assert answer.whole and "connection" not in answer.headers
+        await assert_served(unread, "unread")
         assert await first.wait() == 0
-        for number, wire in enumerate((idle, busy, half, unread)):  # all go on, at the second process
+        for number, wire in enumerate(
+            (idle, busy, partial_request, unread)
+        ):  # the second process serves all of them
             wire.parser.start_next_cycle()
-            await served(wire, f"again-{number}")
-        await served(await here.connect(), "new")
-        assert (tmp_path / NAME).is_socket()
+            await assert_served(wire, f"again-{number}")
+        await assert_served(await platform.connect(), "new")
+        assert (tmp_path / SOCKET_NAME).is_socket()
         second.send_signal(signal.SIGTERM)
         assert await second.wait() == 0
-        assert not (tmp_path / NAME).exists()
+        assert not (tmp_path / SOCKET_NAME).exists()
 
 
 @pytest.mark.parametrize("kind", ["stale file", "stuck", "another version", "noise"])
 @trio_test
-async def test_a_predecessor_that_is_no_use_leaves_the_new_process_working_alone(
-    tmp_path: Path, kind: str
+async def test_an_unusable_predecessor_leaves_the_new_process_working_alone(
+    tmp_path: Path, fault: str
 ) -> None:
     listener = trio.socket.socket(socket.AF_UNIX)
-    await listener.bind(str(tmp_path / NAME))
-    async with site(tmp_path) as here, trio.open_nursery() as nursery:
+    await listener.bind(str(tmp_path / SOCKET_NAME))
+    async with running_platform(tmp_path) as platform, trio.open_nursery() as nursery:
 
-        async def speak() -> None:
+        async def answer_as_predecessor() -> None:
             sock, _ = await listener.accept()
             await sock.recv(4096)
-            if kind == "another version":
+            if fault == "another version":
                 await sock.send(handover.encode("state", version=handover.VERSION + 1))
-            elif kind == "noise":
+            elif fault == "noise":
                 await sock.send(b"HTTP/1.1 400 Bad Request\r\n\r\n")
             await trio.sleep_forever()
 
-        if kind == "stale file":
+        if fault == "stale file":
             listener.close()
         else:
             listener.listen(1)
-            nursery.start_soon(speak)
-        first, said = await here.start()
-        assert b"working alone" in said
-        await served(await here.connect(), "alone")
-        second, said = await here.start()  # and it can be followed in its turn
-        assert b"follows a process that serves" in said
-        first.kill()  # one that dies leaves its successor serving
-        await until(second, b"", b"out of touch")
-        await served(await here.connect(), "after")
+            nursery.start_soon(answer_as_predecessor)
+        first, log = await platform.start()
+        assert b"working alone" in log
+        await assert_served(await platform.connect(), "alone")
+        second, log = await platform.start()  # and it can have a successor itself
+        assert b"follows a process that serves" in log
+        first.kill()  # the successor survives its predecessor's crash
+        await read_log_until(second, b"", b"the connection to the peer process has ended")
+        await assert_served(await platform.connect(), "after")
         nursery.cancel_scope.cancel()
     listener.close()
 
 
-def test_records_come_whole_and_nothing_else_passes() -> None:
-    sent = handover.encode("tell", used=3) + handover.encode("news", list={})
+def test_records_are_parsed_from_any_pieces_and_malformed_ones_are_rejected() -> None:
+    encoded = handover.encode("tell", used=3) + handover.encode("news", list={})
     records = handover.Records()
-    found = [record["kind"] for byte in sent for record in records.feed(bytes([byte]))]
-    assert found == ["tell", "news"]
+    kinds = [record["kind"] for byte in encoded for record in records.feed(bytes([byte]))]
+    assert kinds == ["tell", "news"]
     feeds = (b"\xff\xff\xff\xff", b"\x00\x00\x00\x02[]", b"\x00\x00\x00\x01{", b"\x00\x00\x00\x02{}")
-    calls = [partial(handover.Records().feed, data) for data in feeds]
-    calls += [partial(handover.number, {"used": value}, "used") for value in (-1, True, "3", None)]
-    calls += [partial(handover.counts, {"out": value}, "out") for value in ({"x": 1}, {"1": "x"}, [])]
-    calls += [
-        partial(handover.number, {}, "used"),
-        partial(handover.encode, "state", text="x" * handover.LONGEST),
+    invalid = [partial(handover.Records().feed, data) for data in feeds]
+    invalid += [partial(handover.count_field, {"used": value}, "used") for value in (-1, True, "3", None)]
+    invalid += [partial(handover.counts_field, {"out": value}, "out") for value in ({"x": 1}, {"1": "x"}, [])]
+    invalid += [
+        partial(handover.count_field, {}, "used"),
+        partial(handover.encode, "state", text="x" * handover.MAX_RECORD_BYTES),
     ]
-    for broken in calls:
-        with pytest.raises(handover.Broken):
-            broken()
+    for reject in invalid:
+        with pytest.raises(handover.PeerProtocolError):
+            reject()
 
 
-def test_two_processes_never_hold_more_descriptors_than_one_may() -> None:
+def test_two_processes_together_never_use_more_descriptors_than_one_may() -> None:
     usable = 300
-    assert handover.portion(usable, 280, False, 0, False) == 150  # of the old one, which holds 280
-    for held, new_may in ((280, 20), (150, 150)):  # before it has let go, and then
-        assert handover.portion(usable, 0, False, held, False) == new_may
-    for held in (150, 90, 10, 0):  # the old one leaves, and what it lets go is the new one's
-        leaves = handover.portion(usable, held, True, 150, False)
-        assert leaves + handover.portion(usable, 0, False, held, True) <= usable
-    assert handover.portion(usable, 0, False, 0, True) == usable - handover.LEAVERS_PART
+    assert (
+        handover.descriptor_share(usable, 280, False, 0, False) == 150
+    )  # of the predecessor, which uses 280
+    for used, new_share in ((280, 20), (150, 150)):  # before and after it has released its surplus
+        assert handover.descriptor_share(usable, 0, False, used, False) == new_share
+    for used in (150, 90, 10, 0):  # the predecessor leaves, and the successor gets what it releases
+        leaving_share = handover.descriptor_share(usable, used, True, 150, False)
+        assert leaving_share + handover.descriptor_share(usable, 0, False, used, True) <= usable
+    assert (
+        handover.descriptor_share(usable, 0, False, 0, True) == usable - handover.LEAVING_PROCESS_DESCRIPTORS
+    )
     budget = Descriptors(364)
     assert all(budget.take(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
-    budget.share(handover.portion(usable, 80, True, 0, False), leaving=True)
-    assert not budget.take(Use.CLIENT)  # nobody new, but attempts of what it has taken
-    assert sum(budget.take(Use.ENGINE) for _ in range(100)) == handover.LEAVERS_PART
+    budget.share(handover.descriptor_share(usable, 80, True, 0, False), leaving=True)
+    assert not budget.take(Use.CLIENT)  # no new clients, but attempts of open requests
+    assert sum(budget.take(Use.ENGINE) for _ in range(100)) == handover.LEAVING_PROCESS_DESCRIPTORS
 
 
 def target(state: ReplicaState, started_at: float = 0.0, uid: str = "e1") -> Target:
@@ -212,8 +218,8 @@
 
 
 @dataclass
-class Told:
-    """A core that notes what it hears of the other processes."""
+class RecordingCore:
+    """A core that records what it receives of the peer processes."""
 
     uids: set[str] = field(default_factory=set)
     counts: dict[int, int] = field(default_factory=dict)
@@ -229,35 +235,46 @@
 
 
 @trio_test
-async def test_each_notice_reaches_every_other_process_and_what_is_out_counts() -> None:
-    """One that follows may have a predecessor that still ends and a successor that has just begun."""
-    cores = [Told() for _ in range(3)]
-    made = [Takeover("", c, None, Descriptors(364), lambda *a, **k: None, 1, lambda o: None) for c in cores]  # type: ignore[arg-type]
+async def test_drain_notices_and_open_attempts_reach_every_peer_process() -> None:
+    """A process may have a predecessor that is still exiting and a successor that has just started."""
+    cores = [RecordingCore() for _ in range(3)]
+    takeovers = [
+        Takeover("", c, None, Descriptors(364), lambda *a, **k: None, 1, lambda o: None) for c in cores
+    ]  # type: ignore[arg-type]
     async with trio.open_nursery() as nursery:
-        for a, b in ((0, 1), (1, 2)):
-            for one, end in zip((a, b), trio.socket.socketpair(), strict=True):
+        for predecessor, successor in ((0, 1), (1, 2)):
+            for index, end in zip((predecessor, successor), trio.socket.socketpair(), strict=True):
                 link = Link(end)
-                made[one]._add(link)
-                nursery.start_soon(made[one]._converse, link, None)
-        ended = {f"e{number}" for number in range(1024)}  # each in a list of its own, before anybody is told
-        for version, uid in enumerate(sorted(ended), start=7):
-            made[1].took(ResolverResult(ListKind.DELTA, (target(ReplicaState.DRAINING, uid=uid),), version))
-        while [core.uids for core in cores] != [ended, set(), ended] or cores[1].counts != {7: 4}:
+                takeovers[index].add_link(link)
+                nursery.start_soon(takeovers[index]._run_link, link, None)
+        draining_uids = {
+            f"e{number}" for number in range(1024)
+        }  # each in a result of its own, before any is sent
+        for version, uid in enumerate(sorted(draining_uids), start=7):
+            takeovers[1].on_watch_result(
+                ResolverResult(ListKind.DELTA, (target(ReplicaState.DRAINING, uid=uid),), version)
+            )
+        while [core.uids for core in cores] != [draining_uids, set(), draining_uids] or cores[1].counts != {
+            7: 4
+        }:
             await trio.sleep(0.005)
         nursery.cancel_scope.cancel()
-    assert cores[1].uids == set() and cores[1].counts == {}  # alone again: nothing is out elsewhere
+    assert cores[1].uids == set() and cores[1].counts == {}  # alone again: no attempt is open elsewhere
 
 
-def test_a_drain_notice_holds_for_the_process_whose_own_list_is_behind() -> None:
-    notices = handover.Notices()
+def test_a_drain_notice_applies_to_a_process_whose_list_is_behind() -> None:
+    notices = handover.DrainNotices()
     draining = ResolverResult(ListKind.DELTA, (target(ReplicaState.DRAINING),), 7)
-    assert notices.news(draining) == draining.targets
-    notices.heard(draining)
+    assert notices.notices_in(draining) == draining.targets
+    notices.receive(draining)
     behind = ResolverResult(ListKind.FULL, (target(ReplicaState.READY),), 6)
-    assert notices.held(behind).targets == ()
-    assert notices.held(ResolverResult(ListKind.DELTA, draining.targets, 5)).targets == draining.targets
+    assert notices.without_outdated(behind).targets == ()
+    assert (
+        notices.without_outdated(ResolverResult(ListKind.DELTA, draining.targets, 5)).targets
+        == draining.targets
+    )
     successor = ResolverResult(ListKind.DELTA, (target(ReplicaState.READY, 9.0),), 6)
-    assert notices.held(successor) == successor
-    notices.heard(draining)
-    level = ResolverResult(ListKind.FULL, (target(ReplicaState.READY),), 8)
-    assert notices.held(level) == level and notices.held(behind) == behind
+    assert notices.without_outdated(successor) == successor
+    notices.receive(draining)
+    current = ResolverResult(ListKind.FULL, (target(ReplicaState.READY),), 8)
+    assert notices.without_outdated(current) == current and notices.without_outdated(behind) == behind
