--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -236,7 +236,13 @@
 
         folder = self.config.folder or "/tmp"
         self.takeover = Takeover(
-            folder, self.core, self.resolver, self.budget, self.log, self.system.pid, self._in_company
+            folder,
+            self.core,
+            self.resolver,
+            self.budget,
+            self.log,
+            self.system.pid,
+            self._apply_memory_limits,
         )
         await self.takeover.follow()
         adopt = connection_adopter(self.listeners["http"], self.fronts["http"], self.budget, self._nursery)
@@ -245,10 +251,10 @@
     def _resolved(self, result: ResolverResult) -> None:
         self.core.resolved(result if self.takeover is None else self.takeover.on_watch_result(result))
 
-    def _in_company(self, others: bool) -> None:
+    def _apply_memory_limits(self, has_peer: bool) -> None:
         """Memory, like descriptors, is counted for both processes of a router together."""
         memory_mb = self.config.memory_mb
-        if others:
+        if has_peer:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
         self.payloads.most = payload_bytes(memory_mb)
         self.core.most_open = max_open_rpcs(memory_mb)
@@ -275,7 +281,7 @@
         old, fixed = self.config, self.config.differences_for_next_start(new)
         self.config = old.with_reloaded(new)
         self.budget.resize(self.config.sockets)
-        self._in_company(self.takeover is not None and self.takeover.in_company)
+        self._apply_memory_limits(self.takeover is not None and self.takeover.has_peer)
         if self.config.discovery != old.discovery:
             self.resolver.move(self.config.discovery)
         self.log(
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -52,8 +52,8 @@
         self.peer_descriptors = 0
         self.peer_leaving = False
         self.peer_attempts: dict[int, int] = {}  # open attempts by replica
-        # Drain notices that aren't sent on this link yet, by uid. There is one per server, so the queue needs no
-        # bound and no notice is dropped.
+        # Drain notices that aren't sent on this link yet, by uid. There is one per server, so the queue needs
+        # no bound and no notice is dropped.
         self.pending_notices: dict[str, tuple[int, Target]] = {}
         self.wake = trio.Event()
 
@@ -215,8 +215,8 @@
     async def _listen(self) -> trio.socket.SocketType:
         """Listen on the socket's path.
 
-        The file is bound under a temporary name and renamed over that of the predecessor or of a dead process,
-        so that the path is always that of a listening socket.
+        The file is bound under a temporary name and then renamed, over the predecessor's or a dead process's
+        file, so that the path is always that of a listening socket.
         """
         listener = trio.socket.socket(socket.AF_UNIX)
         temporary_path = f"{self._path}.{self._pid}"
@@ -309,7 +309,7 @@
         return bool(self._links)
 
     def _apply_limits(self) -> None:
-        """Update the limits that hold for all processes of the router together, by the peers' last reports."""
+        """Update the limits that all processes of the router share, by the peers' last reports."""
         links = self._links
         self._on_peer_change(bool(links))
         if links:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -128,9 +128,8 @@
         assert answer.whole and "connection" not in answer.headers
         await assert_served(unread, "unread")
         assert await first.wait() == 0
-        for number, wire in enumerate(
-            (idle, busy, partial_request, unread)
-        ):  # the second process serves all of them
+        # The second process serves all of them.
+        for number, wire in enumerate((idle, busy, partial_request, unread)):
             wire.parser.start_next_cycle()
             await assert_served(wire, f"again-{number}")
         await assert_served(await platform.connect(), "new")
@@ -140,7 +139,7 @@
         assert not (tmp_path / SOCKET_NAME).exists()
 
 
-@pytest.mark.parametrize("kind", ["stale file", "stuck", "another version", "noise"])
+@pytest.mark.parametrize("fault", ["stale file", "stuck", "another version", "noise"])
 @trio_test
 async def test_an_unusable_predecessor_leaves_the_new_process_working_alone(
     tmp_path: Path, fault: str
@@ -195,9 +194,8 @@
 
 def test_two_processes_together_never_use_more_descriptors_than_one_may() -> None:
     usable = 300
-    assert (
-        handover.descriptor_share(usable, 280, False, 0, False) == 150
-    )  # of the predecessor, which uses 280
+    # The predecessor uses 280.
+    assert handover.descriptor_share(usable, 280, False, 0, False) == 150
     for used, new_share in ((280, 20), (150, 150)):  # before and after it has released its surplus
         assert handover.descriptor_share(usable, 0, False, used, False) == new_share
     for used in (150, 90, 10, 0):  # the predecessor leaves, and the successor gets what it releases
@@ -247,9 +245,8 @@
                 link = Link(end)
                 takeovers[index].add_link(link)
                 nursery.start_soon(takeovers[index]._run_link, link, None)
-        draining_uids = {
-            f"e{number}" for number in range(1024)
-        }  # each in a result of its own, before any is sent
+        # Each is in a result of its own, before any is sent.
+        draining_uids = {f"e{number}" for number in range(1024)}
         for version, uid in enumerate(sorted(draining_uids), start=7):
             takeovers[1].on_watch_result(
                 ResolverResult(ListKind.DELTA, (target(ReplicaState.DRAINING, uid=uid),), version)
