--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -1,4 +1,4 @@
-"""Where operators call: one line a connection, answered with one line."""
+"""The operators' console: a listener that reads one line from a connection and answers with one line."""
 
 from __future__ import annotations
 
@@ -11,74 +11,81 @@
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
 
-LONGEST_LINE = 64
-LINE_S = 5.0  # for a whole call; operators may type it
-ANSWER_S = 1.0
-# After the answer, for what a flooding caller still sends.
-HANG_UP_S, QUIET_S = 0.5, 0.1
-MOST_CALLERS = 16
-DESCRIPTORS = MOST_CALLERS + 1  # with the listener's; set aside, so that no crowd of clients can have them
+MAX_LINE_BYTES = 64
+LINE_TIMEOUT_S = 5.0  # to receive a line, which an operator may type by hand
+SEND_TIMEOUT_S = 1.0
+# After the answer, what a flooding caller still sends is discarded: for how long in all, and until how long
+# after its last byte.
+MAX_CLOSE_S, CLOSE_AFTER_QUIET_S = 0.5, 0.1
+MAX_CALLERS = 16
+DESCRIPTORS = MAX_CALLERS + 1  # one is the listener's; reserved, so that clients can't use them up
 
 
 class Console:
-    """`answers` has a function for each word, which says what becomes of the call."""
+    """A listener for operators; `commands` maps each command to a function that returns its answer."""
 
-    def __init__(self, address: str, answers: dict[str, Callable[[], str]], system: System = MACHINE) -> None:
-        self._answers = answers
-        self._callers: dict[trio.CancelScope, None] = {}  # in order of their coming
-        room = Descriptors(0)
-        room.most[Use.CLIENT] = MOST_CALLERS
-        room.evictors[Use.CLIENT].append(self._hurry_one)
-        self.listener = Listener(address, room, system)
+    def __init__(
+        self, address: str, commands: dict[str, Callable[[], str]], system: System = MACHINE
+    ) -> None:
+        self._commands = commands
+        self._pending: dict[trio.CancelScope, None] = {}  # in order of arrival
+        budget = Descriptors(0)
+        budget.most[Use.CLIENT] = MAX_CALLERS
+        budget.evictors[Use.CLIENT].append(self._expire_oldest)
+        self.listener = Listener(address, budget, system)
 
     async def serve(self, nursery: trio.Nursery) -> None:
-        await self.listener.serve(nursery, self.attend)
+        await self.listener.serve(nursery, self.handle)
 
-    def _hurry_one(self) -> bool:
-        """Guards a newcomer's answer against callers that say nothing: the one that has waited longest for
-        its own line hears that there are too many. Its place comes free a moment later, so: not yet.
+    def _expire_oldest(self) -> bool:
+        """Make room for a new caller by ending the oldest wait for a line.
+
+        That caller is answered that there are too many, so that silent callers can't lock out others. Its
+        place becomes free only after that, so this returns False: nothing was released yet.
         """
-        for scope in self._callers:
-            if not scope.cancel_called:
-                scope.cancel()
+        for deadline_scope in self._pending:
+            if not deadline_scope.cancel_called:
+                deadline_scope.cancel()
                 break
         return False
 
-    async def attend(self, connection: Connection) -> None:
+    async def handle(self, connection: Connection) -> None:
         try:
-            text = self._answer(*await self._line(connection))
-            with trio.move_on_after(ANSWER_S):
-                await connection.send(text.encode() + b"\n")
-            await connection.hang_up(HANG_UP_S, QUIET_S)
+            answer = self._answer(*await self._receive_line(connection))
+            with trio.move_on_after(SEND_TIMEOUT_S):
+                await connection.send(answer.encode() + b"\n")
+            await connection.hang_up(MAX_CLOSE_S, CLOSE_AFTER_QUIET_S)
         except ConnectionLost:
-            pass  # nobody is there to hear it
+            pass  # the caller has closed the connection
 
-    async def _line(self, connection: Connection) -> tuple[bytes, str]:
-        """What has come, and why it is no whole line, if it is none."""
-        line, whole = b"", False
-        scope = trio.CancelScope(deadline=trio.current_time() + LINE_S)
-        self._callers[scope] = None
+    async def _receive_line(self, connection: Connection) -> tuple[bytes, str]:
+        """Return the received line and an empty string, or what was received and an error text."""
+        line, is_complete = b"", False
+        deadline_scope = trio.CancelScope(deadline=trio.current_time() + LINE_TIMEOUT_S)
+        self._pending[deadline_scope] = None
         try:
-            with scope:
-                while not whole and len(line) <= LONGEST_LINE:
-                    more = await connection.receive()
-                    if not more:
+            with deadline_scope:
+                while not is_complete and len(line) <= MAX_LINE_BYTES:
+                    data = await connection.receive()
+                    if not data:
                         return line, "a line without an end"
-                    line, whole = line + more, b"\n" in line + more
-            if scope.cancelled_caught and connection.readable:  # its line has come in the same moment
+                    line, is_complete = line + data, b"\n" in line + data
+            if deadline_scope.cancelled_caught and connection.readable:  # the line arrived at the same time
                 line += await connection.receive()
-                whole = b"\n" in line
+                is_complete = b"\n" in line
         finally:
-            del self._callers[scope]
-        if whole and line.index(b"\n") <= LONGEST_LINE:
+            del self._pending[deadline_scope]
+        if is_complete and line.index(b"\n") <= MAX_LINE_BYTES:
             return line[: line.index(b"\n")], ""
-        if len(line) > LONGEST_LINE:
-            return line, f"a line longer than {LONGEST_LINE} bytes"
-        late = trio.current_time() >= scope.deadline
-        return line, f"no whole line within {LINE_S:g} s" if late else "too many callers"
+        if len(line) > MAX_LINE_BYTES:
+            return line, f"a line longer than {MAX_LINE_BYTES} bytes"
+        timed_out = trio.current_time() >= deadline_scope.deadline
+        return line, f"no whole line within {LINE_TIMEOUT_S:g} s" if timed_out else "too many callers"
 
-    def _answer(self, line: bytes, fault: str) -> str:
-        if fault:
-            return f"fail {fault}"
-        answer = self._answers.get(line.strip().decode("latin-1"))
-        return answer() if answer is not None else f"fail unknown call; there are {', '.join(self._answers)}"
+    def _answer(self, line: bytes, error: str) -> str:
+        if error:
+            return f"fail {error}"
+        command = self._commands.get(line.strip().decode("latin-1"))
+        return (
+            command() if command is not None else f"fail unknown call; there are {', '.join(self._commands)}"
+        )
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -1,4 +1,4 @@
-"""The program at work: wires the layers, and leads through the phases."""
+"""The program `serve`: connects the layers and runs through the phases."""
 
 from __future__ import annotations
 
@@ -30,49 +30,56 @@
     from .console import Console
     from .takeover import Takeover
 
-LISTED_S = 1.0  # where lists are pushed, a new process waits so long for the first one before it serves
-# A kill may come as early as the longest deadline and 0.7 s after SIGTERM, and cuts off what came later than
-# that: it is refused, and its client can go elsewhere.
-LAST_TAKEN_S = 0.65
-LINGER_S = 0.5  # for so long after SIGTERM clients still come, and are still taken
-TRIM_S = 5.0
-# Guards the memory limit. The program itself takes about this much; of the rest two fifths may be payloads,
-# on both fronts together; what is left is for connections and what open RPCs need beside their payloads.
+FIRST_LIST_TIMEOUT_S = 1.0  # where lists are pushed: longest wait for the first one before serving
+# SIGKILL may follow SIGTERM after the longest deadline and 0.7 s, and would cut off requests that came later
+# than this. They are refused, so that their clients can go to another router.
+ACCEPT_AFTER_STOP_S = 0.65
+LINGER_S = 0.5  # clients still connect for so long after SIGTERM, and are accepted
+TRIM_INTERVAL_S = 5.0
+# Bounds that keep the process below its memory limit. The program itself takes about PROGRAM_MB; of the rest,
+# two fifths may be payloads, on both fronts together. The remainder is for connections and for what open RPCs
+# need besides their payloads.
 PROGRAM_MB = 36
 PAYLOAD_SHARE = 0.4
-LEAST_PAYLOAD_MB, MOST_PAYLOAD_MB = 2, 40
-OPEN_PER_MB, LEAST_OPEN = 4, 64
-# An engine holds some hundreds of connections, of all routers together: so many are kept idle there.
-ENGINE_HOLDS, LEAST_IDLE = 240, 4
-LIST_PART = 32  # of the memory, for a list on its way
-DRAIN_S = 60.0  # then what still streams is cut off: a reader that trickles must not keep the program
-CONNECTIONS_END_S = 2.0  # for connections to end once all answers are written
+MIN_PAYLOAD_MB, MAX_PAYLOAD_MB = 2, 40
+OPEN_RPCS_PER_MB, MIN_OPEN_RPCS = 4, 64
+# A server accepts a few hundred connections from all routers together; so many of them may be idle.
+IDLE_CONNECTIONS_PER_SERVER, MIN_IDLE_CONNECTIONS = 240, 4
+LIST_MEMORY_DIVISOR = 32  # the memory divided by this is the maximum size of a list
+DRAIN_S = 60.0  # then open streams are cut off, so that a client that reads slowly can't delay the exit
+CONNECTIONS_CLOSE_TIMEOUT_S = 2.0  # once all answers are written
 
 
 def payload_bytes(memory_mb: int) -> int:
-    share = (memory_mb - PROGRAM_MB) * PAYLOAD_SHARE
-    return int(min(max(share, LEAST_PAYLOAD_MB), MOST_PAYLOAD_MB) * 1024 * 1024)
+    payload_mb = (memory_mb - PROGRAM_MB) * PAYLOAD_SHARE
+    return int(min(max(payload_mb, MIN_PAYLOAD_MB), MAX_PAYLOAD_MB) * 1024 * 1024)
 
 
 def max_list_bytes(memory_mb: int) -> int:
-    """Of its bytes, an entry takes some hundreds; indented, decoded and as subchannels it takes more."""
-    return max(memory_mb // LIST_PART, 1) * 1024 * 1024
+    """Return the maximum size of a list.
+
+    An entry has a few hundred bytes, and takes more if indented, once decoded, and as a subchannel.
+    """
+    return max(memory_mb // LIST_MEMORY_DIVISOR, 1) * 1024 * 1024
 
 
 def max_open_rpcs(memory_mb: int) -> int:
-    return max(memory_mb * OPEN_PER_MB, LEAST_OPEN)
+    return max(memory_mb * OPEN_RPCS_PER_MB, MIN_OPEN_RPCS)
 
 
 class Program:
-    """A router: its layers wired together, from start to exit."""
+    """A router process: its connected layers, from start to exit.
+
+    `reload_config` loads the configuration for a reload.
+    """
 
     def __init__(
-        self, config: Config, read_again: Callable[[], Config] | None = None, system: System = MACHINE
+        self, config: Config, reload_config: Callable[[], Config] | None = None, system: System = MACHINE
     ) -> None:
         self.config = config
         self.system = system
         self._dial = dialler(system)
-        self._read_again = read_again
+        self._reload_config = reload_config
         operator = config.operator
         self.syslog = Syslog(config.name, operator.collector, operator.min_severity, system=system)
         self.log = self.syslog.log
@@ -90,7 +97,7 @@
     def ready(self) -> bool:
         return self.lifecycle.is_serving and self.core.can_serve()
 
-    def _connect(self, endpoint: str) -> dict[str, EngineClient]:
+    def _create_clients(self, endpoint: str) -> dict[str, EngineClient]:
         limits = self.config.settings.limits
         clients: dict[str, EngineClient] = {}
         if "http" in self.config.operator.server_protocols:
@@ -102,10 +109,10 @@
                 limits.conn_idle_s,
                 probe_path,
                 self._dial,
-                max(ENGINE_HOLDS // self.config.settings.gateways, LEAST_IDLE),
+                max(IDLE_CONNECTIONS_PER_SERVER // self.config.settings.gateways, MIN_IDLE_CONNECTIONS),
             )
         if "kserve" in self.config.operator.server_protocols:
-            # Only here: the platform's path has no use for the gRPC code and its memory.
+            # Imported here, so that the platform's router doesn't load the gRPC code.
             from ..protocol.kserve.client import KserveEngineClient
 
             clients["kserve"] = KserveEngineClient(
@@ -118,7 +125,7 @@
         self.resolver = Resolver(
             config.discovery,
             config.known.version,
-            self._resolved,
+            self._on_resolver_result,
             self.log,
             self._dial,
             not config.settings.must_ask_for_list,
@@ -130,7 +137,7 @@
         self.core = Core(
             config.settings,
             config.seed,
-            self._connect,
+            self._create_clients,
             self.log,
             max_open_rpcs(config.memory_mb),
             probed_with=probed_with,
@@ -148,13 +155,14 @@
             nursery.start_soon(self.syslog.run)
             nursery.start_soon(self.core.run)
             nursery.start_soon(self.resolver.run)
-            nursery.start_soon(self._trim)
-            nursery.start_soon(self._signals)
+            nursery.start_soon(self._trim_subchannels)
+            nursery.start_soon(self._handle_signals)
             if config.inherited_fd is not None:
-                await self._follow(config.inherited_fd)
+                await self._start_takeover(config.inherited_fd)
             if not config.settings.must_ask_for_list:
-                # Guards the drain rule: what the agent has counts as told from the first moment on.
-                with trio.move_on_after(LISTED_S):
+                # For the drain rule, what the discovery agent has pushed counts as known from the first
+                # request on.
+                with trio.move_on_after(FIRST_LIST_TIMEOUT_S):
                     await self.resolver.listed.wait()
             for front in self.fronts.values():
                 nursery.start_soon(front.tell_shed)
@@ -165,14 +173,14 @@
             await self.lifecycle.stop_requested.wait()
             self.operator_commands.cancel_drain()
             for front in self.fronts.values():
-                front.refuse_from = trio.current_time() + LAST_TAKEN_S
+                front.refuse_from = trio.current_time() + ACCEPT_AFTER_STOP_S
             self.lifecycle.enter(Phase.LINGERING)
-            if config.inherited_fd is not None:  # who comes now is for the process that follows
+            if config.inherited_fd is not None:  # new clients are left to the successor
                 self.listeners["http"].close()
-            passed_on = self.takeover is not None and self.takeover.leave(self.fronts["http"])
+            has_successor = self.takeover is not None and self.takeover.leave(self.fronts["http"])
             for front in self.fronts.values():
                 await front.linger()
-            if not passed_on:
+            if not has_successor:
                 await trio.sleep(self.linger_s)
             for listener in self.listeners.values():
                 listener.close()
@@ -186,15 +194,16 @@
             nursery.cancel_scope.cancel()
 
     async def _answer_all(self) -> None:
-        """Wait until nothing is open and the last answers are written. Guards requests on their way:
-        one whose last bytes come while the connections close is taken, and answered like the others.
+        """Wait until no RPC is open and the last answers are written.
+
+        A request whose last bytes arrive while the connections close is accepted and answered too.
         """
         for listener in self.listeners.values():
             await listener.ended.wait()
         while True:
             await self.core.drained()
             for front in self.fronts.values():
-                await front.closed(CONNECTIONS_END_S)
+                await front.closed(CONNECTIONS_CLOSE_TIMEOUT_S)
             if not self.core.open:
                 return
 
@@ -218,21 +227,21 @@
             self.listeners["kserve"] = Listener(kserve.listen, self.budget, self.system)
 
     async def _open_console(self, nursery: trio.Nursery) -> None:
-        from . import console  # an installation without one does not load it
+        from . import console  # imported here, so that a router without a console doesn't load it
 
         self.budget.set_aside(console.DESCRIPTORS)
-        answers = {
+        commands = {
             "ready": self.operator_commands.ready,
             "drain": self.operator_commands.drain,
             "resume": self.operator_commands.resume,
         }
-        self.console = console.Console(self.config.console, answers, self.system)
+        self.console = console.Console(self.config.console, commands, self.system)
         self.addresses["console"] = await self.console.listener.bind()
         nursery.start_soon(self.console.serve, nursery)
 
-    async def _follow(self, inherited: int) -> None:
-        """Where the platform holds the clients' socket, another process may serve on it, now or later."""
-        from .takeover import Takeover, connection_adopter  # elsewhere it is not loaded
+    async def _start_takeover(self, inherited_fd: int) -> None:
+        """Take over from a predecessor on the inherited listening socket, and accept a successor."""
+        from .takeover import Takeover, connection_adopter  # imported here, where it is needed
 
         folder = self.config.folder or "/tmp"
         self.takeover = Takeover(
@@ -248,37 +257,39 @@
         adopt = connection_adopter(self.listeners["http"], self.fronts["http"], self.budget, self._nursery)
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
-    def _resolved(self, result: ResolverResult) -> None:
+    def _on_resolver_result(self, result: ResolverResult) -> None:
         self.core.resolved(result if self.takeover is None else self.takeover.on_watch_result(result))
 
     def _apply_memory_limits(self, has_peer: bool) -> None:
-        """Memory, like descriptors, is counted for both processes of a router together."""
+        """Set the limits that follow the memory, which both processes of a takeover share."""
         memory_mb = self.config.memory_mb
         if has_peer:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
         self.payloads.most = payload_bytes(memory_mb)
         self.core.most_open = max_open_rpcs(memory_mb)
 
-    async def _signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             if early_reload.take_recorded():
                 self.reload()
-            async for number in signals:
-                if number == signal.SIGHUP:
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
                     self.reload()
                 else:
                     self.lifecycle.stop_requested.set()
 
     def reload(self) -> None:
-        """Read the configuration anew. Subchannels and open RPCs stay; so does all, if it can't be used."""
-        if self._read_again is None:
+        """Reload the configuration; subchannels and open RPCs stay, and an invalid one changes nothing."""
+        if self._reload_config is None:
             return
         try:
-            new = self._read_again()
-        except Exception as error:  # a bad file must not end a program that serves
-            self.log("err", "RELOAD", "the new configuration can't be used, the old one stays", error=error)
+            new = self._reload_config()
+        except Exception as error:  # an invalid file must not end a program that serves
+            self.log(
+                "err", "RELOAD", "the new configuration is invalid; keeping the current one", error=error
+            )
             return
-        old, fixed = self.config, self.config.differences_for_next_start(new)
+        old, differing = self.config, self.config.differences_for_next_start(new)
         self.config = old.with_reloaded(new)
         self.budget.resize(self.config.sockets)
         self._apply_memory_limits(self.takeover is not None and self.takeover.has_peer)
@@ -287,27 +298,27 @@
         self.log(
             "notice",
             "RELOAD",
-            "the configuration was read anew",
+            "reloaded the configuration",
             discovery=self.config.discovery,
-            at_next_start=" ".join(fixed),
+            at_next_start=" ".join(differing),
         )
 
-    async def _trim(self) -> None:
+    async def _trim_subchannels(self) -> None:
         while True:
-            await trio.sleep(TRIM_S)
+            await trio.sleep(TRIM_INTERVAL_S)
             for subchannel in self.core.subchannels.values():
                 subchannel.trim()
 
 
-def serve(config: Config, read_again: Callable[[], Config] | None = None) -> None:
-    program = Program(config, read_again)
+def serve(config: Config, reload_config: Callable[[], Config] | None = None) -> None:
+    program = Program(config, reload_config)
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(program.run)
             await program.serving.wait()
             gc.collect()
-            gc.freeze()  # what lives from the start on need not be walked again in every collection
+            gc.freeze()  # excludes the objects of the start from all later collections
 
     try:
         trio.run(main, clock=program.system.clock)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -220,7 +220,7 @@
         for bad in ("{", json.dumps({**GOOD, "settings": {}})):
             (tmp_path / "config.json").write_text(bad)
             process.send_signal(signal.SIGHUP)
-            said = await read_log_until(process, said[-20:], b"the old one stays")
+            said = await read_log_until(process, said[-20:], b"keeping the current one")
         assert not second.watches
         for discovery in (second, first):  # the file counts for more than the environment of the start
             before = discovery.watches
@@ -256,7 +256,7 @@
         stderr=subprocess.PIPE,
         env={**os.environ, **write_config(tmp_path)},
     )
-    await read_log_until(process, b"", b"read anew")
+    await read_log_until(process, b"", b"reloaded the configuration")
     process.send_signal(signal.SIGTERM)
     async for _ in process.stderr:
         pass
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -208,7 +208,7 @@
 async def test_a_request_half_read_at_the_end_of_the_drain_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(program_serve, "CONNECTIONS_END_S", 0.0)
+    monkeypatch.setattr(program_serve, "CONNECTIONS_CLOSE_TIMEOUT_S", 0.0)
     engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -244,7 +244,7 @@
 async def test_what_is_whole_too_late_before_a_kill_is_refused_at_once(
     late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program_serve, "LAST_TAKEN_S", 0.0 if late else 60.0)
+    monkeypatch.setattr(program_serve, "ACCEPT_AFTER_STOP_S", 0.0 if late else 60.0)
     engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
