--- a/sorreldock/program/soak_command.py
+++ b/sorreldock/program/soak_command.py
@@ -1,4 +1,4 @@
-"""`sorreldock lab soak`: router processes on loopback under faults from seeds."""
+"""`sorreldock lab soak`: real router processes on loopback under seeded faults."""
 
 from __future__ import annotations
 
@@ -10,33 +10,37 @@
 
 import typer
 
-from .optional_commands import AsJson, plainly
-from .simulation_commands import span
+from .optional_commands import AsJson, report_errors
+from .simulation_commands import seed_range
 
 
 def soak(
-    seeds: Annotated[str, typer.Option(help="A:B, from A to before B.")] = "1:4",
+    seeds: Annotated[str, typer.Option(help="Range of seeds A:B, without B.")] = "1:4",
     routers: Annotated[int, typer.Option(min=1, max=40)] = 12,
-    servers: Annotated[int, typer.Option(min=1, max=10_000, help="Stand-in servers.")] = 80,
-    seconds: Annotated[float, typer.Option(min=3.0, max=3600.0, help="Of traffic, a seed.")] = 20.0,
-    requests: Annotated[float, typer.Option(min=0.1, help="A second and router.")] = 6.0,
-    faults: Annotated[float, typer.Option(min=0.0, help="A second, in the mean; they overlap.")] = 1.5,
-    changes: Annotated[float, typer.Option(min=0.0, help="Changes to the list a second, besides.")] = 0.5,
+    servers: Annotated[int, typer.Option(min=1, max=10_000, help="Number of emulated servers.")] = 80,
+    seconds: Annotated[float, typer.Option(min=3.0, max=3600.0, help="Seconds of traffic per seed.")] = 20.0,
+    requests: Annotated[float, typer.Option(min=0.1, help="Requests per second and router.")] = 6.0,
+    faults: Annotated[
+        float, typer.Option(min=0.0, help="Mean number of faults per second; they overlap.")
+    ] = 1.5,
+    changes: Annotated[
+        float, typer.Option(min=0.0, help="Changes of the server list per second, in addition.")
+    ] = 0.5,
     failing_calls: Annotated[
         float, typer.Option(min=0.0, max=0.2, help="Share of system calls that fail, in half of the routers.")
     ] = 0.01,
-    logs: Annotated[Path | None, typer.Option(help="A folder for the logs of failing seeds.")] = None,
+    logs: Annotated[Path | None, typer.Option(help="Folder for the logs of failing seeds.")] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Play router processes under overlapping faults, and check the rules on what clients and servers saw.
+    """Run router processes under overlapping faults, and check the rules on what clients and servers saw.
 
-    Exit status: 0 all rules held, 1 one broke, 2 a wrong command line.
+    Exit status: 0 all rules held, 1 one was broken, 2 invalid command line.
     """
-    with plainly("lab"):
+    with report_errors("lab"):
         from ..lab.soak.runner import Soak, Verdict, play
 
-        broken = False
-        for seed in span(seeds):
+        failed = False
+        for seed in seed_range(seeds):
             verdict: Verdict = play(
                 Soak(
                     seed=seed,
@@ -49,27 +53,34 @@
                     failing_calls=failing_calls,
                 )
             )
-            broken = broken or bool(verdict.breaks)
+            failed = failed or bool(verdict.breaks)
             if verdict.breaks and logs is not None:
                 _write_logs(logs, verdict.seed, verdict.logs)
-            print(_line(verdict.seed, verdict.requests, verdict.served, verdict.breaks, as_json), flush=True)
+            print(
+                _format_line(verdict.seed, verdict.requests, verdict.served, verdict.breaks, as_json),
+                flush=True,
+            )
             if verdict.breaks and not as_json:
-                kinds = [f"{trouble.at:.1f} s {trouble.kind.value}" for trouble in verdict.plan]
-                print("    faults: " + ", ".join(kinds), file=sys.stderr)
+                planned_faults = [f"{fault.at:.1f} s {fault.kind.value}" for fault in verdict.plan]
+                print("    faults: " + ", ".join(planned_faults), file=sys.stderr)
             elif as_json:
-                print(json.dumps({"seed": seed, "plan": [_plain(asdict(t)) for t in verdict.plan]}))
-    raise typer.Exit(1 if broken else 0)
+                print(
+                    json.dumps(
+                        {"seed": seed, "plan": [_with_plain_values(asdict(fault)) for fault in verdict.plan]}
+                    )
+                )
+    raise typer.Exit(1 if failed else 0)
 
 
-def _line(seed: int, requests: int, served: int, breaks: list[str], as_json: bool) -> str:
+def _format_line(seed: int, requests: int, served: int, breaks: list[str], as_json: bool) -> str:
     if as_json:
         return json.dumps({"seed": seed, "requests": requests, "served": served, "breaks": breaks})
-    said = f"seed {seed}: {requests} requests, {served} served, {len(breaks)} breaks"
-    return "\n".join([said, *(f"    {text}" for text in breaks)])
+    summary = f"seed {seed}: {requests} requests, {served} served, {len(breaks)} breaks"
+    return "\n".join([summary, *(f"    {text}" for text in breaks)])
 
 
-def _plain(trouble: dict[str, object]) -> dict[str, object]:
-    return {name: getattr(value, "value", value) for name, value in trouble.items()}
+def _with_plain_values(fault: dict[str, object]) -> dict[str, object]:
+    return {name: getattr(value, "value", value) for name, value in fault.items()}
 
 
 def _write_logs(folder: Path, seed: int, logs: dict[str, str]) -> None:
--- a/sorreldock/program/syslog.py
+++ b/sorreldock/program/syslog.py
@@ -24,17 +24,15 @@
     "debug": 7,
 }
 FACILITY = 16  # local0
-SD_ID = (
-    "sorreldock@32473"  # 32473 is the enterprise number for documentation; the archive has none of its own
-)
-MOST_WAITING = 2000
-DIAL_S = 2.0
-WRITE_S = 5.0
-UNFIT = re.compile(r"[^\x21-\x7e]")
+SD_ID = "sorreldock@32473"  # 32473 is the enterprise number for documentation; no other one is registered
+MAX_WAITING_RECORDS = 2000
+DIAL_TIMEOUT_S = 2.0
+WRITE_TIMEOUT_S = 5.0
+NOT_PRINTABLE_ASCII = re.compile(r"[^\x21-\x7e]")
 
 
-def header_field(text: str, longest: int) -> str:
-    return UNFIT.sub("_", text)[:longest] or "-"
+def header_field(text: str, max_length: int) -> str:
+    return NOT_PRINTABLE_ASCII.sub("_", text)[:max_length] or "-"
 
 
 def sd_name(text: str) -> str:
@@ -42,7 +40,7 @@
 
 
 def sd_value(value: object) -> str:
-    r"""A parameter's value: `"`, `\` and `]` escaped as RFC 5424 section 6.3.3 asks; no line breaks."""
+    r"""Escape `"`, `\` and `]` in a parameter's value (RFC 5424 section 6.3.3), and replace line breaks."""
     text = "".join(c if c.isprintable() else " " for c in str(value))
     return re.sub(r'(["\\\]])', r"\\\1", text)
 
@@ -50,28 +48,31 @@
 def record(
     severity: str, host: str, message_id: str, text: str, data: dict[str, object], at: datetime, pid: int
 ) -> bytes:
-    """One record, without a line's end."""
-    stamp = at.astimezone(UTC).strftime("%Y-%m-%dT%H:%M:%S.%fZ")
-    params = "".join(f' {sd_name(name)}="{sd_value(value)}"' for name, value in data.items())
-    structured = f"[{SD_ID}{params}]" if params else "-"
+    """Format one record, without a newline at its end."""
+    timestamp = at.astimezone(UTC).strftime("%Y-%m-%dT%H:%M:%S.%fZ")
+    parameters = "".join(f' {sd_name(name)}="{sd_value(value)}"' for name, value in data.items())
+    structured = f"[{SD_ID}{parameters}]" if parameters else "-"
     priority = FACILITY * 8 + SEVERITIES[severity]
-    message = "".join(c if c.isprintable() else " " for c in text)
-    head = (
-        f"<{priority}>1 {stamp} {header_field(host, 255)} sorreldock {pid} "
+    message = "".join(char if char.isprintable() else " " for char in text)
+    header = (
+        f"<{priority}>1 {timestamp} {header_field(host, 255)} sorreldock {pid} "
         f"{header_field(message_id, 32)} {structured} "
     )
-    # Without a byte-order mark MSG is of any encoding (MSG-ANY); ours are ASCII but for what peers wrote.
-    return (head + message).encode("utf-8", "replace")
+    # Without a byte-order mark MSG may have any encoding (MSG-ANY). It is ASCII except for text from peers.
+    return (header + message).encode("utf-8", "replace")
 
 
 class Syslog:
-    """The log's actor. `log` never blocks: past its bound a record is dropped and counted."""
+    """The program's log: a bounded queue of records and a task that writes them.
+
+    `log` never blocks: while the queue is full, records are dropped and counted.
+    """
 
     def __init__(
         self,
         host: str = "",
         collector: str = "",
-        least: str = "info",
+        min_severity: str = "info",
         descriptor: int | None = None,
         system: System = MACHINE,
     ) -> None:
@@ -80,15 +81,15 @@
         self._system = system
         self._dial = dialler(system)
         self.dropped = 0
-        self._least = SEVERITIES[least]
+        self._max_level = SEVERITIES[min_severity]
         self._descriptor = sys.stderr.fileno() if descriptor is None else descriptor
         self._waiting: deque[bytes] = deque()
         self._wake = trio.Event()
 
     def log(self, severity: str, message_id: str, text: str, **data: object) -> None:
-        if SEVERITIES[severity] > self._least:
+        if SEVERITIES[severity] > self._max_level:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_WAITING_RECORDS:
             self.dropped += 1
             return
         if self.dropped:
@@ -104,49 +105,49 @@
 
     async def run(self) -> None:
         if self.collector:
-            await self._run_collector()
+            await self._send_to_collector()
         else:
-            await self._run_descriptor()
+            await self._write_to_descriptor()
 
-    async def _next(self) -> None:
+    async def _wait_for_record(self) -> None:
         while not self._waiting:
             self._wake = trio.Event()
             await self._wake.wait()
 
-    async def _run_descriptor(self) -> None:
+    async def _write_to_descriptor(self) -> None:
         while True:
-            await self._next()
+            await self._wait_for_record()
             lines = b"".join(self._waiting.popleft() + b"\n" for _ in range(min(len(self._waiting), 100)))
             await self._system.write(self._descriptor, lines)
 
-    async def _run_collector(self) -> None:
-        """Octet-counted frames (RFC 6587 section 3.4.1) over TCP; reconnects with a doubling pause."""
-        pause = 0.1
+    async def _send_to_collector(self) -> None:
+        """Send octet-counted frames (RFC 6587 section 3.4.1) over TCP; reconnect with exponential backoff."""
+        pause_s = 0.1
         while True:
-            await self._next()
+            await self._wait_for_record()
             try:
-                connection = await self._dial(self.collector, DIAL_S, lambda: None)
+                connection = await self._dial(self.collector, DIAL_TIMEOUT_S, lambda: None)
             except DialFailed:
-                await trio.sleep(pause)
-                pause = min(pause * 2, 5.0)
+                await trio.sleep(pause_s)
+                pause_s = min(pause_s * 2, 5.0)
                 continue
             try:
                 while True:
-                    await self._next()
-                    if connection.stale:  # a collector says nothing: readable means that it has closed
+                    await self._wait_for_record()
+                    if connection.stale:  # a collector sends nothing, so readable means closed
                         raise ConnectionLost("closed by the collector")
                     frame = self._waiting[0]
-                    with trio.fail_after(WRITE_S):
+                    with trio.fail_after(WRITE_TIMEOUT_S):
                         await connection.send(b"%d %b" % (len(frame), frame))
                     self._waiting.popleft()
-                    pause = 0.1
+                    pause_s = 0.1
             except (ConnectionLost, trio.TooSlowError):
-                await trio.sleep(pause)
+                await trio.sleep(pause_s)
             finally:
                 connection.close()
 
-    async def flush(self, within_s: float) -> None:
-        """Give the last records a moment to get out."""
-        with trio.move_on_after(within_s):
+    async def flush(self, timeout_s: float) -> None:
+        """Wait until the queue is empty, at most `timeout_s`."""
+        with trio.move_on_after(timeout_s):
             while self._waiting:
                 await trio.sleep(0.01)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -137,7 +137,7 @@
 async def test_a_collector_gets_counted_octets_and_a_slow_one_costs_records_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(syslog, "MOST_WAITING", 3)
+    monkeypatch.setattr(syslog, "MAX_WAITING_RECORDS", 3)
     got = bytearray()
     async with trio.open_nursery() as nursery:
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -527,7 +527,7 @@
         kinds |= {f.kind for f in scenario.faults}
         clients |= {p.client for p in scenario.requests}
     assert kinds == set(FAULTS) and clients == set(CLIENTS)
-    assert all(name in simulation_commands.NAMED for name in [*FAULTS, *CLIENTS])
+    assert all(name in simulation_commands.EXPLORE_HELP for name in [*FAULTS, *CLIENTS])
 
 
 @pytest.mark.parametrize(
