--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers over loopback sockets: engines, discovery, clients; and the program set among them."""
+"""Scripted servers, discovery and clients on loopback sockets, and a router that runs between them."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def trio_test(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """A test that runs in trio, and fails rather than hangs."""
+    """Run an async test in trio, with a timeout."""
 
     @functools.wraps(test)
     def run(**fixtures: Any) -> None:
@@ -84,7 +84,7 @@
         return event
 
     async def message(self) -> tuple[Any, bytes]:
-        """A whole message: its head and body."""
+        """Receive a whole message; return its head and body."""
         head, body = await self.next(), b""
         while isinstance(event := await self.next(), h11.Data):
             body += event.data
@@ -95,7 +95,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request that has reached a scripted engine."""
+    """A request that a scripted server has received, with the methods to answer it."""
 
     wire: HttpConnection
     head: h11.Request
@@ -103,10 +103,10 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        return {k.decode(): v.decode() for k, v in self.head.headers}
+        return {name.decode(): value.decode() for name, value in self.head.headers}
 
     async def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
-        names = [(k.replace("_", "-"), v) for k, v in headers.items()]
+        names = [(name.replace("_", "-"), value) for name, value in headers.items()]
         names.append(("content-length", str(len(body))))
         response = h11.Response(status_code=status, headers=names)
         await self.wire.send(response, h11.Data(data=body), h11.EndOfMessage())
@@ -116,7 +116,7 @@
         await self.wire.send(head, *(h11.Data(data=e) for e in events))
 
     async def send_events(self, *events: bytes) -> None:
-        await self.wire.send(*(h11.Data(data=e) for e in events))
+        await self.wire.send(*(h11.Data(data=event) for event in events))
 
     async def end(self) -> None:
         await self.wire.send(h11.EndOfMessage())
@@ -127,26 +127,28 @@
             pass
 
 
-async def answer_in_full(call: ReceivedRequest) -> None:
-    await call.start(*EVENTS)
-    await call.end()
+async def answer_in_full(received: ReceivedRequest) -> None:
+    await received.start(*EVENTS)
+    await received.end()
 
 
 def stream_until(finish: trio.Event) -> Callable[[ReceivedRequest], Awaitable[None]]:
-    """A script whose answers begin at once, and end when they are told."""
+    """Return a script that starts the answer at once and completes it after `finish`."""
 
-    async def slowly(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
+    async def script(received: ReceivedRequest) -> None:
+        await received.start(EVENTS[0])
         await finish.wait()
-        await call.send_events(*EVENTS[1:])
-        await call.end()
+        await received.send_events(*EVENTS[1:])
+        await received.end()
 
-    return slowly
+    return script
 
 
 class MachineWithoutSignals(Machine):
-    """For programs in one process with others and with the tests: of two that took its signals, the one that
-    ends last would put the handlers of the other one back. Stories of signals start processes.
+    """A system that delivers no signals, for several programs in the process of the tests.
+
+    With two that handle signals, the one that ends last would restore the handlers of the other one. Tests of
+    signals start processes instead.
     """
 
     def signals(self, *numbers: int) -> AbstractContextManager[AsyncIterator[int]]:
@@ -154,7 +156,7 @@
 
 
 class Peer:
-    """Something that listens on a port of its own until its scope ends."""
+    """A server on a port of its own, open until its scope ends."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -173,14 +175,14 @@
     async def _attend(self, stream: trio.SocketStream) -> None:
         self.connections += 1
         with suppress(h11.ProtocolError, trio.BrokenResourceError, trio.ClosedResourceError):
-            await self.attend(stream)  # which ends when the router has left
+            await self.attend(stream)  # returns once the router has closed the connection
 
     async def attend(self, stream: trio.SocketStream) -> None:
         raise NotImplementedError
 
 
 class ScriptedServer(Peer):
-    """An engine that follows a script for each request; `scripts` are used up first, one a request."""
+    """A server that runs a script for each request: first each of `scripts` once, then always `script`."""
 
     def __init__(self, script: Callable[[ReceivedRequest], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
@@ -193,12 +195,12 @@
         wire = HttpConnection(stream, h11.SERVER)
         while True:
             head, body = await wire.message()
-            call = ReceivedRequest(wire, head, body)
-            self.received_requests.append(call)
+            received = ReceivedRequest(wire, head, body)
+            self.received_requests.append(received)
             self.open_requests += 1
             self.max_open_requests = max(self.max_open_requests, self.open_requests)
             try:
-                await (self.scripts.pop(0) if self.scripts else self.script)(call)
+                await (self.scripts.pop(0) if self.scripts else self.script)(received)
             finally:
                 self.open_requests -= 1
             if wire.parser.our_state is not h11.DONE:
@@ -207,34 +209,39 @@
 
 
 class Discovery(Peer):
-    """Tells a list; a watch gets each `tell`. `refuse` answers that many watches with 503 first."""
+    """A discovery service that sends the list to each watch, and again at each `push_states`.
+
+    The first `watches_to_refuse` watches are answered with 503.
+    """
 
-    def __init__(self, *engines: Peer) -> None:
+    def __init__(self, *servers: Peer) -> None:
         super().__init__()
-        self.engines = engines
+        self.servers = servers
         self.rev = 1
         self.watches_to_refuse = 0
         self.watches = 0
         self.states: dict[str, str] = {}
         self.changed = trio.Event()
         self.watching = trio.Event()
-        self.malformed_lines: list[bytes] = []  # lines that come first, one a watch
-        self.extra_addresses: list[str] = []  # addresses of engines that are only listed
+        self.malformed_lines: list[bytes] = []  # sent instead of the list, one to each of the first watches
+        self.extra_addresses: list[str] = []  # addresses in the list that have no server
         self.indent: int | None = None
 
     def targets(self) -> list[dict[str, Any]]:
         return [
             {
-                "uid": f"e{i}",
-                "endpoint": e,
+                "uid": f"e{index}",
+                "endpoint": address,
                 "az": "ipswich",
                 "model": "m",
                 "pod_group": 0,
-                "state": self.states.get(f"e{i}", "Ready"),
+                "state": self.states.get(f"e{index}", "Ready"),
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for i, e in enumerate([e.address for e in self.engines] + self.extra_addresses)
+            for index, address in enumerate(
+                [server.address for server in self.servers] + self.extra_addresses
+            )
         ]
 
     def listing(self) -> dict[str, Any]:
@@ -260,8 +267,8 @@
             return
         while True:
             changed = self.changed
-            listed = json.dumps(self.listing(), indent=self.indent)
-            await wire.send(h11.Data(data=listed.encode() + b"\n"))
+            text = json.dumps(self.listing(), indent=self.indent)
+            await wire.send(h11.Data(data=text.encode() + b"\n"))
             self.watching.set()
             await changed.wait()
 
@@ -273,7 +280,7 @@
 
 @dataclass
 class Answer:
-    """A router's answer as a client sees it."""
+    """A router's answer as a client receives it; `whole` says whether its end has arrived."""
 
     status: int
     headers: dict[str, str]
@@ -283,7 +290,7 @@
 
 @dataclass
 class Router:
-    """A running program and how to reach it."""
+    """A running program, and requests to it."""
 
     program: Program
     nursery: trio.Nursery
@@ -309,7 +316,7 @@
         return await self.send_request("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
 
     async def start_post(self, **headers: str | None) -> HttpConnection:
-        """A request whose answer the test reads by itself."""
+        """Send a request, and return its connection for the test to read the answer."""
         wire = await self.connect()
         await wire.send(
             request("POST", "/v1/chat/completions", b"{}", {**FIELDS, **headers}),
@@ -319,9 +326,9 @@
         return wire
 
 
-async def start_streaming(router: Router, engine: ScriptedServer, finish: trio.Event) -> HttpConnection:
-    """A request whose answer has begun, and ends when it is told."""
-    engine.scripts.append(stream_until(finish))
+async def start_streaming(router: Router, server: ScriptedServer, finish: trio.Event) -> HttpConnection:
+    """Send a request whose answer has started and completes after `finish`."""
+    server.scripts.append(stream_until(finish))
     wire = await router.start_post(x_trace_id="taken")
     await wire.next()
     return wire
@@ -338,7 +345,7 @@
 
 
 def request(method: str, target: str, body: bytes, headers: dict[str, str | None]) -> h11.Request:
-    names = [(k.replace("_", "-"), v) for k, v in headers.items() if v is not None]
+    names = [(name.replace("_", "-"), value) for name, value in headers.items() if value is not None]
     return h11.Request(
         method=method,
         target=target,
@@ -360,7 +367,7 @@
 
 @asynccontextmanager
 async def running_router(
-    *engines: Peer,
+    *servers: Peer,
     discovery: Discovery | None = None,
     operator: Operator | None = None,
     lists: str = "ask",
@@ -368,12 +375,12 @@
     sockets: int = 1024,
     **settings: Any,
 ) -> AsyncIterator[Router]:
-    """The program among these engines, ready to serve; it must end by itself once it is told to stop."""
-    discovery = discovery or Discovery(*engines)
+    """Run the program with these servers; at the end it has to stop by itself."""
+    discovery = discovery or Discovery(*servers)
     raw = {**SETTINGS, "discovery": lists, **{k: v for k, v in settings.items() if k != "limits"}}
     raw["policy_limits"] = {**SETTINGS["policy_limits"], **settings.get("limits", {})}
     async with trio.open_nursery() as peers:
-        for peer in (*engines, discovery):
+        for peer in (*servers, discovery):
             await peers.start(_run_peer, peer)
         config = Config(
             "n1",
@@ -391,7 +398,7 @@
             nursery.start_soon(router.program.run)
             await router.program.serving.wait()
             yield router
-            router.program.linger_s = 0.0  # nobody comes any more
+            router.program.linger_s = 0.0  # no client connects any more
             router.program.lifecycle.stop_requested.set()
         assert router.program.lifecycle.phase is Phase.STOPPED
         peers.cancel_scope.cancel()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -257,7 +257,7 @@
                 core = router.program.core
                 while not any(entry.out for entry in core.open.values()):
                     await trio.sleep(0.005)
-                discovery.engines = (hung, good)
+                discovery.servers = (hung, good)
                 discovery.push_states(e0="Terminating")
     assert len(good.received_requests) == 1
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Stories of the program: configuration, commands, log and exit."""
+"""Tests of the program: configuration, commands, log, reload and exit."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from sorreldock.wire import decode_settings
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:9",
@@ -37,13 +37,13 @@
 
 def write_config(tmp_path: Path, **changes: Any) -> dict[str, str]:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**GOOD, **changes}))
+    path.write_text(json.dumps({**VALID_CONFIG, **changes}))
     return {"RELAY_CONFIG": str(path)}
 
 
-def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "sorreldock", *words],
+        [sys.executable, "-m", "sorreldock", *arguments],
         cwd=ROOT,
         env={**os.environ, **environment},
         capture_output=True,
@@ -52,14 +52,14 @@
     )
 
 
-def test_the_commands(tmp_path: Path) -> None:
-    assert command("version").stdout.strip() == "0.2.0"
-    checked = command("check-config", **write_config(tmp_path))
-    assert (checked.returncode, checked.stdout.startswith("n3: listens on 127.0.0.1:0")) == (0, True)
+def test_version_and_check_config_print_a_summary(tmp_path: Path) -> None:
+    assert run_command("version").stdout.strip() == "0.2.0"
+    result = run_command("check-config", **write_config(tmp_path))
+    assert (result.returncode, result.stdout.startswith("n3: listens on 127.0.0.1:0")) == (0, True)
 
 
 @pytest.mark.parametrize(
-    "changes, said",
+    "changes, expected",
     [
         ({"settings": {}}, "setting policy_limits is missing"),
         ({"listen": "nowhere"}, "listen: 'nowhere' is not host:port"),
@@ -68,13 +68,15 @@
         ({"limits": {"sockets": 3}}, "limits.sockets"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, changes: dict[str, Any], said: str) -> None:
-    done = command("serve", **write_config(tmp_path, **changes))
-    assert done.returncode != 0 and done.stderr.count("\n") == 1 and said in done.stderr
+def test_an_invalid_configuration_fails_with_one_line(
+    tmp_path: Path, changes: dict[str, Any], expected: str
+) -> None:
+    result = run_command("serve", **write_config(tmp_path, **changes))
+    assert result.returncode != 0 and result.stderr.count("\n") == 1 and expected in result.stderr
 
 
 @pytest.mark.parametrize(
-    "name, value, said",
+    "name, value, expected",
     [
         ("RELAY_INHERITED_FD", "99", "RELAY_INHERITED_FD 99: Bad file descriptor"),
         ("RELAY_INHERITED_FD", "0", "RELAY_INHERITED_FD 0"),
@@ -82,23 +84,25 @@
         ("RELAY_CONSOLE", "nowhere", "console: 'nowhere' is not host:port"),
     ],
 )
-def test_bad_operators_settings_end_with_status_2(tmp_path: Path, name: str, value: str, said: str) -> None:
-    done = command("serve", **write_config(tmp_path), **{name: value})
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1) and said in done.stderr
-    if not value.isdigit():  # a descriptor's number is looked at by `serve` alone
-        assert command("check-config", **write_config(tmp_path), **{name: value}).returncode == 2
+def test_invalid_environment_variables_end_with_status_2(
+    tmp_path: Path, name: str, value: str, expected: str
+) -> None:
+    result = run_command("serve", **write_config(tmp_path), **{name: value})
+    assert (result.returncode, result.stderr.count("\n")) == (2, 1) and expected in result.stderr
+    if not value.isdigit():  # only `serve` checks the descriptor itself
+        assert run_command("check-config", **write_config(tmp_path), **{name: value}).returncode == 2
 
 
-def test_a_taken_port_is_one_plain_line(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        done = command("serve", **write_config(tmp_path, listen=listen))
-    assert done.returncode != 0 and done.stderr.splitlines()[-1].startswith("sorreldock: ")
-    assert "Traceback" not in done.stderr
+def test_an_occupied_port_fails_with_one_line(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        listen = f"127.0.0.1:{occupied.getsockname()[1]}"
+        result = run_command("serve", **write_config(tmp_path, listen=listen))
+    assert result.returncode != 0 and result.stderr.splitlines()[-1].startswith("sorreldock: ")
+    assert "Traceback" not in result.stderr
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ('[engines]\nprotocols = ["kserve"]', "front http is enabled"),
         ('[kserve]\nlisten = "127.0.0.1:1"\nmodels = ["m"]', "front kserve is enabled"),
@@ -107,24 +111,24 @@
         ("[htpp]", "unknown key htpp"),
     ],
 )
-def test_what_an_operators_file_may_not_say(text: str, said: str) -> None:
-    with pytest.raises(ConfigError, match=said):
+def test_an_invalid_operators_file_is_rejected(text: str, expected: str) -> None:
+    with pytest.raises(ConfigError, match=expected):
         operator_from(tomllib.loads(text), decode_settings(SETTINGS))
 
 
-def test_the_operators_file_that_we_ship_is_read(tmp_path: Path) -> None:
+def test_the_operators_file_in_deploy_is_valid(tmp_path: Path) -> None:
     config = load(write_config(tmp_path), ROOT / "deploy" / "operator-kserve.toml")
     assert config.operator.kserve is not None and config.operator.collector
     assert load(write_config(tmp_path)).operator == Operator()
 
 
-def test_phases_have_one_way() -> None:
+def test_invalid_phase_transitions_are_rejected() -> None:
     lifecycle = Lifecycle(lambda phase: None)
     with pytest.raises(RuntimeError):
         lifecycle.enter(Phase.DRAINING)
 
 
-def test_a_record_is_rfc_5424() -> None:
+def test_a_log_record_follows_rfc_5424() -> None:
     at = datetime(2026, 12, 1, 3, 4, 5, 678, UTC)
     line = syslog.record("notice", "n 3", "PHASE", "one\nline", {'a"]=': 'x"y\\z]\n'}, at, 77).decode()
     assert line == (
@@ -134,42 +138,42 @@
 
 
 @trio_test
-async def test_a_collector_gets_counted_octets_and_a_slow_one_costs_records_only(
+async def test_a_collector_receives_octet_counted_frames_and_a_slow_one_only_drops_records(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(syslog, "MAX_WAITING_RECORDS", 3)
-    got = bytearray()
+    received = bytearray()
     async with trio.open_nursery() as nursery:
 
         async def collect(stream: trio.SocketStream) -> None:
             async for data in stream:
-                got.extend(data)
+                received.extend(data)
 
         [listener] = await nursery.start(partial(trio.serve_tcp, collect, 0, host="127.0.0.1"))
         log = syslog.Syslog("n1", f"127.0.0.1:{listener.socket.getsockname()[1]}")
         for number in range(10):
-            log.log("info", "TEST", "nobody takes this yet", number=number)
+            log.log("info", "TEST", "not written yet", number=number)
         assert log.dropped == 7
         nursery.start_soon(log.run)
         await log.flush(5)
         log.log("info", "TEST", "later")
         await log.flush(5)
-        while b"later" not in got:
+        while b"later" not in received:
             await trio.sleep(0.005)
         nursery.cancel_scope.cancel()
     records = []
-    while got:
-        length, _, rest = bytes(got).partition(b" ")
+    while received:
+        length, _, rest = bytes(received).partition(b" ")
         records.append(rest[: int(length)])
-        got = bytearray(rest[int(length) :])
+        received = bytearray(rest[int(length) :])
     assert len(records) == 5 and b'[sorreldock@32473 count="7"]' in records[3]
 
 
 @trio_test
-async def test_the_program_starts_on_a_tree_it_cannot_write_and_ends_at_sigterm(tmp_path: Path) -> None:
-    engine = ScriptedServer()
-    discovery = Discovery(engine)
-    async with engine.open(), discovery.open():
+async def test_the_program_starts_without_writing_bytecode_and_stops_at_sigterm(tmp_path: Path) -> None:
+    server = ScriptedServer()
+    discovery = Discovery(server)
+    async with server.open(), discovery.open():
         env = write_config(tmp_path, discovery=discovery.address, known=discovery.listing())
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "sorreldock", "serve"],
@@ -178,14 +182,14 @@
             stderr=subprocess.PIPE,
         )
         assert process.stderr is not None
-        said = b""
-        while b"serving" not in said:
-            said += await process.stderr.receive_some(4096)
+        log = b""
+        while b"serving" not in log:
+            log += await process.stderr.receive_some(4096)
         process.send_signal(signal.SIGTERM)
         async for more in process.stderr:
-            said += more
+            log += more
         assert await process.wait() == 0
-    lines = said.decode().splitlines()
+    lines = log.decode().splitlines()
     assert [line.split()[-1] for line in lines if " PHASE " in line] == [
         "serving",
         "lingering",
@@ -195,19 +199,19 @@
     assert all(line.startswith("<") and line.split()[0].endswith(">1") for line in lines)
 
 
-async def read_log_until(process: Any, said: bytes, word: bytes) -> bytes:
-    while word not in said:
+async def read_log_until(process: Any, log: bytes, word: bytes) -> bytes:
+    while word not in log:
         more = await process.stderr.receive_some(4096)
-        assert more, said
-        said += more
-    return said
+        assert more, log
+        log += more
+    return log
 
 
 @trio_test
-async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    engine = ScriptedServer()
-    first, second = Discovery(engine), Discovery(engine)
-    async with engine.open(), first.open(), second.open():
+async def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    server = ScriptedServer()
+    first, second = Discovery(server), Discovery(server)
+    async with server.open(), first.open(), second.open():
         env = write_config(tmp_path, discovery=first.address, known=first.listing())
         process = await trio.lowlevel.open_process(
             [sys.executable, "-B", "-m", "sorreldock", "serve"],
@@ -215,21 +219,21 @@
             stderr=subprocess.PIPE,
             env={**os.environ, **env, "RELAY_DISCOVERY": first.address},
         )
-        said = await read_log_until(process, b"", b"serving")
+        log = await read_log_until(process, b"", b"serving")
         await first.watching.wait()
-        for bad in ("{", json.dumps({**GOOD, "settings": {}})):
-            (tmp_path / "config.json").write_text(bad)
+        for invalid in ("{", json.dumps({**VALID_CONFIG, "settings": {}})):
+            (tmp_path / "config.json").write_text(invalid)
             process.send_signal(signal.SIGHUP)
-            said = await read_log_until(process, said[-20:], b"keeping the current one")
+            log = await read_log_until(process, log[-20:], b"keeping the current one")
         assert not second.watches
-        for discovery in (second, first):  # the file counts for more than the environment of the start
-            before = discovery.watches
+        for discovery in (second, first):  # the file takes precedence over the environment of the start
+            previous = discovery.watches
             write_config(tmp_path, discovery=discovery.address)
             process.send_signal(signal.SIGHUP)
-            while discovery.watches == before:
+            while discovery.watches == previous:
                 await trio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
-        said = await read_log_until(process, b"", b"lingering")
+        log = await read_log_until(process, b"", b"lingering")
         process.send_signal(signal.SIGHUP)
         async for _ in process.stderr:
             pass
@@ -237,7 +241,7 @@
 
 
 @trio_test
-async def test_sighup_before_the_program_listens_for_it_is_heard_later(tmp_path: Path) -> None:
+async def test_sighup_before_the_handler_is_installed_reloads_later(tmp_path: Path) -> None:
     code = (
         "import os, signal, runpy, sys\n"
         "from sorreldock.program import config\n"
@@ -264,31 +268,31 @@
 
 
 @trio_test
-async def test_open_rpcs_and_subchannels_outlive_a_move_of_the_watch() -> None:
-    more = trio.Event()
-
-    async def slowly(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
-        await more.wait()
-        await call.send_events(*EVENTS[1:])
-        await call.end()
-
-    engine = ScriptedServer(slowly)
-    first, second = Discovery(engine), Discovery(engine)
-    async with second.open(), running_router(engine, discovery=first) as router:
+async def test_open_rpcs_and_subchannels_survive_a_move_of_the_watch() -> None:
+    finish = trio.Event()
+
+    async def script(received: ReceivedRequest) -> None:
+        await received.start(EVENTS[0])
+        await finish.wait()
+        await received.send_events(*EVENTS[1:])
+        await received.end()
+
+    server = ScriptedServer(script)
+    first, second = Discovery(server), Discovery(server)
+    async with second.open(), running_router(server, discovery=first) as router:
         await first.watching.wait()
-        before = dict(router.program.core.subchannels)
+        subchannels = dict(router.program.core.subchannels)
         wire = await router.start_post()
         await wire.next()
         router.program.resolver.move(second.address)
         await second.watching.wait()
-        more.set()
+        finish.set()
         assert [(await wire.next()).data for _ in EVENTS] == EVENTS
-        assert router.program.core.subchannels == before
+        assert router.program.core.subchannels == subchannels
 
 
 @trio_test
-async def test_a_fault_in_the_module_fails_its_rpcs_and_spares_the_program(
+async def test_an_exception_in_the_decision_module_fails_its_rpcs_but_not_the_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with running_router(ScriptedServer()) as router:
