--- a/sorreldock/program/soak_command.py
+++ b/sorreldock/program/soak_command.py
@@ -66,7 +66,10 @@
             elif as_json:
                 print(
                     json.dumps(
-                        {"seed": seed, "plan": [_with_plain_values(asdict(fault)) for fault in verdict.plan]}
+                        {
+                            "seed": seed,
+                            "plan": [_with_plain_values(asdict(planned)) for planned in verdict.plan],
+                        }
                     )
                 )
     raise typer.Exit(1 if failed else 0)
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -10,7 +10,7 @@
 from grpc_peers import BOTH, SharedEngine, Stream, framed, grpc_client, piece
 from grpc_peers import request as grpc_request
 from peers import EVENTS, FIELDS, ReceivedRequest, ScriptedServer, request, running_router, trio_test
-from test_parts import Recorder
+from test_parts import EventRecorder
 
 from sorreldock.interface import AttemptEnded, Status
 from sorreldock.kserve.framing import Code
@@ -207,9 +207,9 @@
     for engine in engines:
         engine.scripts = [script]
     async with running_router(*engines) as router:
-        seen = Recorder(router.program.core._gateway)
+        seen = EventRecorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both are spoilt: tried twice, and no more
-        assert [e.status for e in seen.of(AttemptEnded)] == [Status.RESET] * 2
+        assert [e.status for e in seen.events_of(AttemptEnded)] == [Status.RESET] * 2
         assert [len(engine.received_requests) for engine in engines] == [1, 1]
         assert (await router.post()).whole
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The core's guards, and the small parts whose every cut and order matters."""
+"""Tests of the routing core's checks on the decision module, and of parsers and budgets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=40))))
-def test_a_ring_gives_back_what_was_put_in_order(steps: list[tuple[bool, bytes]]) -> None:
+def test_a_ring_returns_bytes_in_the_order_of_their_writing(steps: list[tuple[bool, bytes]]) -> None:
     ring, expected = Ring(32), b""
     for take, data in steps:
         if take:
@@ -44,16 +44,16 @@
 
 
 @given(st.lists(st.integers(1, 20)))
-def test_farewells_are_found_however_the_bytes_are_cut(cuts: list[int]) -> None:
-    plain = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
-    goodbye = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
-    data, strip = plain + goodbye + plain, Farewells(preface=False)
+def test_goaway_frames_are_found_in_bytes_cut_anywhere(cuts: list[int]) -> None:
+    other_frames = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
+    goaway = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
+    data, parser = other_frames + goaway + other_frames, Farewells(preface=False)
     rest, found = b"", []
-    for cut in [*cuts, len(data)]:
-        got, farewells = strip.strip(data[:cut])
-        data = data[cut:]
-        rest, found = rest + got, found + farewells
-    assert (rest, found) == (plain * 2, [Farewell(5, 2)])
+    for length in [*cuts, len(data)]:
+        rest_of_piece, farewells = parser.strip(data[:length])
+        data = data[length:]
+        rest, found = rest + rest_of_piece, found + farewells
+    assert (rest, found) == (other_frames * 2, [Farewell(5, 2)])
 
 
 @pytest.mark.parametrize(
@@ -67,53 +67,53 @@
         ("", {}),
     ],
 )
-def test_load_reports(text: str, load: dict[Metric, float]) -> None:
+def test_load_reports_are_parsed(text: str, load: dict[Metric, float]) -> None:
     assert parse_load(text) == load
 
 
-class Recorder:
-    """Stands between the module's actor and the module."""
+class EventRecorder:
+    """Records the events for the decision module, and optionally replaces its actions."""
 
-    def __init__(self, gateway: Any, answer: Any = None) -> None:
-        self.handle, self.answer, self.events = gateway.handle, answer, []
+    def __init__(self, gateway: Any, respond: Any = None) -> None:
+        self.handle, self.respond, self.events = gateway.handle, respond, []
         gateway.handle = self
 
     def __call__(self, now: float, events: Sequence[Event]) -> list[Any]:
         self.events += events
         actions = self.handle(now, events)
-        return actions if self.answer is None else self.answer(events)
+        return actions if self.respond is None else self.respond(events)
 
-    def of(self, kind: type) -> list[Any]:
+    def events_of(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
 @trio_test
-async def test_the_end_of_a_stream_tells_the_module_load_and_kept_tokens() -> None:
-    async def report(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
+async def test_the_end_of_a_stream_reports_load_and_cached_tokens_to_the_decision_module() -> None:
+    async def answer_with_load_report(received: ReceivedRequest) -> None:
+        await received.start(EVENTS[0])
         usage = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}\n\n'
         tail = usage + b"data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT errors_per_s=1.5, backlog=4\n\n"
-        for at in range(0, len(tail), 7):  # cut anywhere
-            await call.send_events(tail[at : at + 7])
-        await call.end()
+        for position in range(0, len(tail), 7):  # in small pieces
+            await received.send_events(tail[position : position + 7])
+        await received.end()
 
-    async with running_router(ScriptedServer(report)) as router:
-        seen = Recorder(router.program.core._gateway)
+    async with running_router(ScriptedServer(answer_with_load_report)) as router:
+        recorder = EventRecorder(router.program.core._gateway)
         assert (await router.post()).whole
-        while not seen.of(AttemptEnded):
+        while not recorder.events_of(AttemptEnded):
             await trio.sleep(0.001)
-    [first], [ended] = seen.of(FirstToken), seen.of(AttemptEnded)
+    [first], [ended] = recorder.events_of(FirstToken), recorder.events_of(AttemptEnded)
     assert 0 < first.latency_s <= ended.latency_s
     assert (ended.status, ended.final, ended.cached_tokens) == (Status.OK, True, 4096)
     assert ended.report == (1.5, 4.0)
 
 
 @trio_test
-async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
+async def test_an_rpc_that_the_decision_module_ignores_is_answered_at_its_deadline() -> None:
     async with running_router(ScriptedServer()) as router:
-        Recorder(router.program.core._gateway, lambda events: [])
+        EventRecorder(router.program.core._gateway, lambda events: [])
         began = trio.current_time()
-        # Nothing but the deadline's timer answers; a loaded machine may lag it, a lost timer never ends.
+        # Only the deadline's timer answers here. A busy machine may delay it; a lost timer would never fire.
         with trio.fail_after(1.0):
             assert (await router.post(x_expires_in="200m")).status == 504
         assert trio.current_time() - began >= 0.15
@@ -121,58 +121,58 @@
 
 
 @trio_test
-async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
-    async def hang(call: ReceivedRequest) -> None:
-        await call.wait_closed()
+async def test_a_second_concurrent_attempt_is_not_sent_even_if_the_decision_module_orders_it() -> None:
+    async def never_answer(received: ReceivedRequest) -> None:
+        await received.wait_closed()
 
-    engines = [ScriptedServer(hang), ScriptedServer(hang)]
-    async with running_router(*engines) as router:
+    servers = [ScriptedServer(never_answer), ScriptedServer(never_answer)]
+    async with running_router(*servers) as router:
         core = router.program.core
 
-        def both(events: Sequence[Event]) -> list[Any]:
+        def send_to_all(events: Sequence[Event]) -> list[Any]:
             arrived = [e for e in events if isinstance(e, RequestArrived)]
             return [Send(e.request, replica) for e in arrived for replica in core.subchannels]
 
-        seen = Recorder(core._gateway, both)
+        recorder = EventRecorder(core._gateway, send_to_all)
         await router.post(x_expires_in="200m")
-        assert next(e.status for e in seen.of(AttemptEnded)) is Status.NOT_SENT
-    assert sum(len(engine.received_requests) for engine in engines) == 1
+        assert next(e.status for e in recorder.events_of(AttemptEnded)) is Status.NOT_SENT
+    assert sum(len(server.received_requests) for server in servers) == 1
 
 
 @trio_test
-async def test_probes_bring_load_and_a_stranger_is_not_probed() -> None:
-    async def load(call: ReceivedRequest) -> None:
-        assert call.head.target == b"/metrics/load"
-        await call.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
+async def test_probes_report_load_and_an_unknown_replica_is_not_probed() -> None:
+    async def answer_probe(received: ReceivedRequest) -> None:
+        assert received.head.target == b"/metrics/load"
+        await received.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
 
-    async with running_router(ScriptedServer(load), limits={"probes": True}) as router:
+    async with running_router(ScriptedServer(answer_probe), limits={"probes": True}) as router:
         core = router.program.core
-        seen = Recorder(core._gateway, lambda events: [])
+        recorder = EventRecorder(core._gateway, lambda events: [])
         core._decide([])
         for replica in (*core.subchannels, 12345):
-            seen.answer = lambda events, replica=replica: [Probe(replica)]
+            recorder.respond = lambda events, replica=replica: [Probe(replica)]
             core._decide([])
-        seen.answer = lambda events: []
-        while len(seen.events) < 2 or not all(hasattr(e, "report") for e in seen.events[-2:]):
+        recorder.respond = lambda events: []
+        while len(recorder.events) < 2 or not all(hasattr(e, "report") for e in recorder.events[-2:]):
             await trio.sleep(0.001)
-    ended = {e.replica: (e.status, e.report) for e in seen.events if hasattr(e, "report")}
+    ended = {e.replica: (e.status, e.report) for e in recorder.events if hasattr(e, "report")}
     assert ended.pop(12345) == (Status.NOT_SENT, ())
     assert list(ended.values()) == [(Status.OK, (0.5, 2.0))]
 
 
 @trio_test
-async def test_an_engine_that_talks_nonsense_ends_its_attempt_only() -> None:
-    async def nonsense(call: ReceivedRequest) -> None:
-        await call.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
+async def test_a_malformed_answer_fails_only_its_attempt() -> None:
+    async def malformed_answer(received: ReceivedRequest) -> None:
+        await received.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
 
-    engine = ScriptedServer()
-    engine.scripts = [nonsense]
-    async with running_router(engine, ScriptedServer()) as router:
+    server = ScriptedServer()
+    server.scripts = [malformed_answer]
+    async with running_router(server, ScriptedServer()) as router:
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
 @trio_test
-async def test_idle_client_connections_make_room_for_new_ones() -> None:
+async def test_idle_client_connections_are_closed_for_new_ones() -> None:
     async with running_router(ScriptedServer()) as router:
         router.program.budget.most[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
@@ -182,56 +182,56 @@
 
 
 @trio_test
-async def test_many_routers_keep_few_idle_connections_each_at_an_engine() -> None:
-    """An engine holds only so many connections, and all routers' idle ones count."""
-    out, all_out = [], trio.Event()
-
-    async def together(call: ReceivedRequest) -> None:
-        out.append(call)
-        if len(out) == 8:
-            all_out.set()
-        await all_out.wait()
-        await answer_in_full(call)
-
-    async with running_router(ScriptedServer(together), balancers=200) as router:
+async def test_each_of_many_routers_keeps_few_idle_connections_to_a_server() -> None:
+    """A server accepts a limited number of connections, and the idle ones of all routers count."""
+    received_together, all_received = [], trio.Event()
+
+    async def answer_together(received: ReceivedRequest) -> None:
+        received_together.append(received)
+        if len(received_together) == 8:
+            all_received.set()
+        await all_received.wait()
+        await answer_in_full(received)
+
+    async with running_router(ScriptedServer(answer_together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
-            for k in range(8):
-                nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
+            for number in range(8):
+                nursery.start_soon(partial(router.post, x_trace_id=f"t{number}"))
         while router.program.core.open:
             await trio.sleep(0.005)
         assert router.program.budget.used[Use.ENGINE] == 4
 
 
-def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
+def test_the_descriptor_budget_evicts_an_idle_connection_before_it_refuses() -> None:
     budget = Descriptors(100)
-    held = sum(budget.take(Use.ENGINE) for _ in range(100))
-    assert held == 42 and budget.used[Use.CLIENT] == 0
+    taken = sum(budget.take(Use.ENGINE) for _ in range(100))
+    assert taken == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
         budget.give_back(Use.ENGINE)
         return True
 
-    robbed: list[int] = []
-    budget.evictors[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
+    evicted: list[int] = []
+    budget.evictors[Use.ENGINE] += [lambda n=n: evicted.append(n) or evict() for n in range(1024)]  # type: ignore
     assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
-    assert robbed == [*range(1024), *range(1024)]
-    budget.share(20)  # another process of this router has the rest
+    assert evicted == [*range(1024), *range(1024)]
+    budget.share(20)  # the peer process has the rest
     budget.let_go()
     assert budget.used[Use.ENGINE] == 10
     budget.share(None)
     assert budget.most[Use.ENGINE] == 42
 
 
-def test_the_budgets_follow_the_limits() -> None:
+def test_memory_and_descriptor_limits_set_the_budgets() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
     assert [max_open_rpcs(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
-    for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
+    for limit in (100, 256, 1024):  # a third is for clients alone; some are for the program itself
         most = Descriptors(limit).most
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
 @trio_test
-async def test_a_connection_at_rest_holds_no_buffers() -> None:
+async def test_an_idle_connection_holds_no_buffers() -> None:
     async with running_router(ScriptedServer()) as router:
         wire = await router.start_post()
         while not isinstance(await wire.next(), h11.EndOfMessage):
@@ -240,11 +240,11 @@
         while client.stage is not Stage.IDLE:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked()
-        lines = [s.clients["http"]._pool._idle[0][1] for s in router.program.core.subchannels.values()]
-        for connection in (client.connection, lines[0].connection):
+        pooled = [s.clients["http"]._pool._idle[0][1] for s in router.program.core.subchannels.values()]
+        for connection in (client.connection, pooled[0].connection):
             assert connection._incoming._view is None and connection._outgoing._view is None
 
 
-def test_the_settings_are_those_of_the_simulator() -> None:
+def test_the_test_settings_are_decoded_as_the_platforms() -> None:
     limits = decode_settings(SETTINGS).limits
     assert (limits.connect_timeout_s, limits.conn_idle_s) == (0.5, 60.0)
