--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..transport.budget import Descriptors, Use
+from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection, ConnectionLost
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
@@ -29,9 +29,9 @@
     ) -> None:
         self._commands = commands
         self._pending: dict[trio.CancelScope, None] = {}  # in order of arrival
-        budget = Descriptors(0)
-        budget.most[Use.CLIENT] = MAX_CALLERS
-        budget.evictors[Use.CLIENT].append(self._expire_oldest)
+        budget = DescriptorBudget(0)
+        budget.max_used[Use.CLIENT] = MAX_CALLERS
+        budget.eviction_callbacks[Use.CLIENT].append(self._expire_oldest)
         self.listener = Listener(address, budget, system)
 
     async def serve(self, nursery: trio.Nursery) -> None:
@@ -54,7 +54,7 @@
             answer = self._answer(*await self._receive_line(connection))
             with trio.move_on_after(SEND_TIMEOUT_S):
                 await connection.send(answer.encode() + b"\n")
-            await connection.hang_up(MAX_CLOSE_S, CLOSE_AFTER_QUIET_S)
+            await connection.lingering_close(MAX_CLOSE_S, CLOSE_AFTER_QUIET_S)
         except ConnectionLost:
             pass  # the caller has closed the connection
 
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -11,12 +11,12 @@
 
 from .. import __version__
 from ..protocol.front import Front
-from ..protocol.http.client import HttpEngineClient
+from ..protocol.http.client import HttpServerClient
 from ..protocol.http.discovery import Resolver
 from ..protocol.http.front import HttpFront
 from ..routing.core import Core
-from ..routing.types import EngineClient, ResolverResult
-from ..transport.budget import Descriptors, Payloads
+from ..routing.types import ResolverResult, ServerClient
+from ..transport.budget import DescriptorBudget, PayloadBudget
 from ..transport.connection import dialler
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
@@ -86,8 +86,8 @@
         self.lifecycle = Lifecycle(lambda phase: self.log("notice", "PHASE", phase.value))
         self.console: Console | None = None
         self.takeover: Takeover | None = None
-        self.budget = Descriptors(config.sockets)
-        self.payloads = Payloads(payload_bytes(config.memory_mb))
+        self.budget = DescriptorBudget(config.sockets)
+        self.payloads = PayloadBudget(payload_bytes(config.memory_mb))
         self.fronts: dict[str, Front[Any]] = {}
         self.listeners: dict[str, Listener] = {}
         self.addresses: dict[str, str] = {}  # where each front listens, by protocol
@@ -97,12 +97,12 @@
     def ready(self) -> bool:
         return self.lifecycle.is_serving and self.core.can_serve()
 
-    def _create_clients(self, endpoint: str) -> dict[str, EngineClient]:
+    def _create_clients(self, endpoint: str) -> dict[str, ServerClient]:
         limits = self.config.settings.limits
-        clients: dict[str, EngineClient] = {}
+        clients: dict[str, ServerClient] = {}
         if "http" in self.config.operator.server_protocols:
             probe_path = "/metrics/load" if self.config.settings.metrics else "/alive"
-            clients["http"] = HttpEngineClient(
+            clients["http"] = HttpServerClient(
                 endpoint,
                 self.budget,
                 limits.connect_timeout_s,
@@ -113,9 +113,9 @@
             )
         if "kserve" in self.config.operator.server_protocols:
             # Imported here, so that the platform's router doesn't load the gRPC code.
-            from ..protocol.kserve.client import KserveEngineClient
+            from ..protocol.kserve.client import KserveServerClient
 
-            clients["kserve"] = KserveEngineClient(
+            clients["kserve"] = KserveServerClient(
                 endpoint, self.budget, limits.connect_timeout_s, limits.conn_idle_s, self._dial
             )
         return clients
@@ -133,17 +133,17 @@
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.server_protocols else "kserve"
+        probe_protocol = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
             self._create_clients,
             self.log,
             max_open_rpcs(config.memory_mb),
-            probed_with=probed_with,
+            probe_protocol=probe_protocol,
             wall=self.system.wall,
         )
-        self.core.resolved(config.known)
+        self.core.apply_resolver_result(config.known)
         self._open_fronts()
         for protocol, listener in self.listeners.items():
             self.addresses[protocol] = await listener.bind()
@@ -163,9 +163,9 @@
                 # For the drain rule, what the discovery agent has pushed counts as known from the first
                 # request on.
                 with trio.move_on_after(FIRST_LIST_TIMEOUT_S):
-                    await self.resolver.listed.wait()
+                    await self.resolver.first_list_received.wait()
             for front in self.fronts.values():
-                nursery.start_soon(front.tell_shed)
+                nursery.start_soon(front.log_evictions)
             for protocol, listener in self.listeners.items():
                 nursery.start_soon(listener.serve, nursery, self.fronts[protocol].handle)
             self.lifecycle.enter(Phase.SERVING)
@@ -173,7 +173,7 @@
             await self.lifecycle.stop_requested.wait()
             self.operator_commands.cancel_drain()
             for front in self.fronts.values():
-                front.refuse_from = trio.current_time() + ACCEPT_AFTER_STOP_S
+                front.refuse_requests_from = trio.current_time() + ACCEPT_AFTER_STOP_S
             self.lifecycle.enter(Phase.LINGERING)
             if config.inherited_fd is not None:  # new clients are left to the successor
                 self.listeners["http"].close()
@@ -201,10 +201,10 @@
         for listener in self.listeners.values():
             await listener.ended.wait()
         while True:
-            await self.core.drained()
+            await self.core.wait_until_idle()
             for front in self.fronts.values():
-                await front.closed(CONNECTIONS_CLOSE_TIMEOUT_S)
-            if not self.core.open:
+                await front.wait_closed(CONNECTIONS_CLOSE_TIMEOUT_S)
+            if not self.core.open_rpcs:
                 return
 
     def _open_fronts(self) -> None:
@@ -229,7 +229,7 @@
     async def _open_console(self, nursery: trio.Nursery) -> None:
         from . import console  # imported here, so that a router without a console doesn't load it
 
-        self.budget.set_aside(console.DESCRIPTORS)
+        self.budget.reserve(console.DESCRIPTORS)
         commands = {
             "ready": self.operator_commands.ready,
             "drain": self.operator_commands.drain,
@@ -258,15 +258,17 @@
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
     def _on_resolver_result(self, result: ResolverResult) -> None:
-        self.core.resolved(result if self.takeover is None else self.takeover.on_watch_result(result))
+        self.core.apply_resolver_result(
+            result if self.takeover is None else self.takeover.on_watch_result(result)
+        )
 
     def _apply_memory_limits(self, has_peer: bool) -> None:
         """Set the limits that follow the memory, which both processes of a takeover share."""
         memory_mb = self.config.memory_mb
         if has_peer:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
-        self.payloads.most = payload_bytes(memory_mb)
-        self.core.most_open = max_open_rpcs(memory_mb)
+        self.payloads.max_used = payload_bytes(memory_mb)
+        self.core.max_open_rpcs = max_open_rpcs(memory_mb)
 
     async def _handle_signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
@@ -294,7 +296,7 @@
         self.budget.resize(self.config.sockets)
         self._apply_memory_limits(self.takeover is not None and self.takeover.has_peer)
         if self.config.discovery != old.discovery:
-            self.resolver.move(self.config.discovery)
+            self.resolver.change_address(self.config.discovery)
         self.log(
             "notice",
             "RELOAD",
--- a/sorreldock/program/start.py
+++ b/sorreldock/program/start.py
@@ -21,10 +21,10 @@
 
     Only the process that serves has the descriptor, so other commands don't check it.
     """
-    from ..transport.system import listens  # imports trio, so only where a descriptor is inherited
+    from ..transport.system import is_listening  # imports trio, so only where a descriptor is inherited
 
     try:
-        if listens(descriptor):
+        if is_listening(descriptor):
             return
     except OSError as error:
         raise ConfigError(f"RELAY_INHERITED_FD {descriptor}: {error.strerror}") from None
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -22,9 +22,9 @@
 from ..protocol.http.discovery import ListError, Resolver, decode_result, encode_result
 from ..routing.core import Core
 from ..routing.types import Log, ResolverResult, Target
-from ..transport.budget import Descriptors, Use
+from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection
-from ..transport.failures import repeated
+from ..transport.failures import retry_transient
 from ..transport.listener import Listener
 from . import handover
 from .handover import PeerProtocolError
@@ -75,9 +75,9 @@
                     ancillary = []
                     if descriptor is not None:
                         ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-                    data = data[await repeated(partial(self._sock.sendmsg, [data], ancillary)) :]
+                    data = data[await retry_transient(partial(self._sock.sendmsg, [data], ancillary)) :]
                     while data:
-                        data = data[await repeated(partial(self._sock.send, data)) :]
+                        data = data[await retry_transient(partial(self._sock.send, data)) :]
                     return True
                 except (OSError, trio.ClosedResourceError):
                     pass
@@ -92,7 +92,7 @@
         while not self._waiting:
             try:
                 ancillary_bytes = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_READ * DESCRIPTOR_BYTES)
-                data, ancillary, flags, _ = await repeated(
+                data, ancillary, flags, _ = await retry_transient(
                     partial(self._sock.recvmsg, 65536, ancillary_bytes)
                 )
             except (OSError, trio.ClosedResourceError) as error:
@@ -131,7 +131,7 @@
         folder: str,
         core: Core,
         resolver: Resolver,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         log: Log,
         pid: int,
         on_peer_change: Callable[[bool], None],
@@ -182,8 +182,8 @@
 
     def _restore(self, state: dict[str, Any]) -> None:
         result = decode_result(state.get("list"), ListKind.CACHED)
-        self._resolver.follow(result.version)
-        self._core.resolved(result)
+        self._resolver.start_from(result.version)
+        self._core.apply_resolver_result(result)
         learned = state.get("learned")
         if isinstance(learned, dict):
             self._core.restore(learned)
@@ -257,7 +257,7 @@
             if fault:
                 await link.send("fail", version=handover.VERSION, why=fault)
                 return
-            listing = {**encode_result(self._core.listing()), "rev": self._resolver.version}
+            listing = {**encode_result(self._core.known_servers()), "rev": self._resolver.version}
             state: dict[str, Any] = {"version": handover.VERSION, "pid": self._pid, "list": listing}
             self._successor = link
             if not await link.send("state", None, **state, learned=self._core.snapshot()):
@@ -272,7 +272,7 @@
             if self._successor is link:
                 self._successor = None
                 if self._front is not None:  # without a successor, answers announce a close again
-                    self._front.passed_on = None
+                    self._front.pass_connection = None
             link.close()
 
     def leave(self, front: Front[Any]) -> bool:
@@ -280,7 +280,7 @@
         if self._successor is None:
             return False
         self._leaving, self._front = True, front
-        front.passed_on = self._pass_on
+        front.pass_connection = self._pass_on
         for link in self._links:
             link.wake.set()
         return True
@@ -317,24 +317,24 @@
             for link in links:
                 for replica, count in link.peer_attempts.items():
                     open_elsewhere[replica] = open_elsewhere.get(replica, 0) + count
-            self._core.out_elsewhere(open_elsewhere)
+            self._core.set_peer_attempts(open_elsewhere)
             used_by_peers, peers_leaving = (
                 sum(link.peer_descriptors for link in links),
                 all(link.peer_leaving for link in links),
             )
-            usable = self._budget.usable_with(len(links))
+            usable = self._budget.usable_in_total(len(links))
             own_used = sum(self._budget.used.values())
             own_share = handover.descriptor_share(
                 usable, own_used, self._leaving, used_by_peers, peers_leaving
             )
             if self._leaving:  # what it has released is the successor's
                 own_share = self._leaving_limit = min(own_share, self._leaving_limit)
-            self._budget.share(own_share, self._leaving)
+            self._budget.set_portion(own_share, self._leaving)
             if not self._leaving:
-                self._budget.let_go()
+                self._budget.close_excess_idle()
         else:
-            self._core.out_elsewhere({})
-            self._budget.share(None)
+            self._core.set_peer_attempts({})
+            self._budget.set_portion(None)
 
     async def _run_link(self, link: Link, adopt: Callable[[int], None] | None) -> None:
         try:
@@ -367,7 +367,7 @@
             case "news":
                 result = decode_result(record.get("list"), ListKind.DELTA)
                 self._notices.receive(result)
-                self._core.resolved(result)
+                self._core.apply_resolver_result(result)
             case "connection":
                 if adopt is None:  # only a predecessor passes connections on
                     os.close(descriptor)
@@ -385,7 +385,9 @@
                 ends = ResolverResult(ListKind.DELTA, tuple(target for _, target in group), version)
                 await link.send("news", list=encode_result(ends))
             self._apply_limits()
-            open_attempts = {str(replica): count for replica, count in self._core.out().items()}
+            open_attempts = {
+                str(replica): count for replica, count in self._core.attempts_in_flight().items()
+            }
             own_used = sum(self._budget.used.values())
             if not await link.send("tell", used=own_used, leaving=self._leaving, out=open_attempts):
                 return
@@ -394,12 +396,12 @@
 
 
 def connection_adopter(
-    listener: Listener, front: Front[Any], budget: Descriptors, nursery: trio.Nursery
+    listener: Listener, front: Front[Any], budget: DescriptorBudget, nursery: trio.Nursery
 ) -> Callable[[int], None]:
     """Return a function that takes over a client's connection from its descriptor."""
 
     def adopt(descriptor: int) -> None:
-        budget.adopt(Use.CLIENT)
-        listener.adopt(descriptor, nursery, front.handle_kept)
+        budget.count_inherited(Use.CLIENT)
+        listener.adopt(descriptor, nursery, front.handle_passed_connection)
 
     return adopt
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from ...routing.types import RPC, Final, NameTaken, Outcome, Overloaded, SinkClosed
+from ...routing.types import RPC, FinalAnswer, NameTaken, Outcome, Overloaded, SinkClosed
 from ...transport.admission import Stage
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
@@ -19,7 +19,7 @@
 LARGEST_HEAD = 16 * 1024
 # Bytes kept of requests that a client sends before it has been answered: one of the largest. Later ones are
 # read and dropped, since the client's close can only be seen behind them; the first of them gets a 503.
-LARGEST_AHEAD = limits.LARGEST_BODY + LARGEST_HEAD
+LARGEST_AHEAD = limits.MAX_BODY_BYTES + LARGEST_HEAD
 LEAST_WAIT_S = 0.001  # of who has given up already: the module ends it
 IDLE_S = 5.0  # between requests; the platform allows 2 s, and clients come again over a new connection
 CLOSE = (b"connection", b"close")
@@ -50,18 +50,18 @@
         self.waiting: trio.CancelScope | None = None
         self.connected_at = trio.current_time()
         self.stage, self.since = Stage.SILENT, self.connected_at
-        self.spoken = self.hung_up = False
-        self.held_bytes = self.ahead_bytes = 0
+        self.has_sent_request = self.hung_up = False
+        self.reserved_bytes = self.ahead_bytes = 0
         self.arrivals = Arrivals(self.connected_at)
         self.dropping = False  # more was sent ahead than is kept: what comes now is read and dropped
-        self.final: Final | None = None
+        self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.head_sent = False
         self.rpc_key = ""  # of the last RPC, for the log
 
     @property
     def owes_answer(self) -> bool:
-        return self.stage in (Stage.HALF, Stage.TAKEN)
+        return self.stage in (Stage.PARTIAL, Stage.TAKEN)
 
     def close_if_idle(self) -> bool:
         if self.hung_up:  # its last answer may be unread, and a close could turn it into a reset
@@ -75,18 +75,18 @@
     def readable(self) -> bool:
         return self.connection.readable
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         self.connection.close()
         self.release_body()
         self.reach(Stage.TAKEN)  # of its own end; nothing more to give
 
     def reach(self, stage: Stage) -> None:
         self.stage, self.since = stage, trio.current_time()
-        self.front.queue.enter(self)
+        self.front.queue.add(self)
 
     # The core's side.
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         if self.final is not None:
             raise SinkClosed
         out = b""
@@ -99,12 +99,12 @@
         except ConnectionLost:
             raise SinkClosed from None
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         self.final = final
         self.finished.set()
 
-    def left(self) -> bool:
-        return self.connection.ended()
+    def has_client_left(self) -> bool:
+        return self.connection.has_peer_closed()
 
     # The wire's side.
 
@@ -112,22 +112,22 @@
         return self.parser.send(event) or b""
 
     async def write(self, data: bytes) -> None:
-        with trio.move_on_after(limits.WRITE_S) as scope:
+        with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             await self.connection.send(data)
         if scope.cancelled_caught:  # guards memory and engines against a reader that never reads
             raise ClientStalled("the client takes nothing")
 
     def closing(self) -> list[tuple[bytes, bytes]]:
-        ends = self.front.draining and self.front.passed_on is None
+        ends = self.front.draining and self.front.pass_connection is None
         return [(b"connection", b"close")] if ends else []
 
     def release_body(self) -> None:
-        self.front.payloads.give_back(self.held_bytes)
-        self.held_bytes = 0
+        self.front.payloads.release(self.reserved_bytes)
+        self.reserved_bytes = 0
 
     def release_ahead(self) -> None:
         """What was sent ahead is parsed, or nobody's any longer."""
-        self.front.payloads.give_back(self.ahead_bytes)
+        self.front.payloads.release(self.ahead_bytes)
         self.ahead_bytes = 0
 
     async def run(self) -> None:
@@ -138,7 +138,7 @@
                     if request is None:
                         await self.pass_on()
                         return
-                    await self.attend(request)
+                    await self.handle_request(request)
                 except Answered as answer:
                     await self.answer(answer.status, answer.text, answer.headers)
                 finally:
@@ -149,7 +149,7 @@
                 self.parser.start_next_cycle()
                 if self.front.closing and not self.begun():  # what has come of a request is answered
                     await self.pass_on()
-                    if self.front.passed_on is None:
+                    if self.front.pass_connection is None:
                         await self.leave()
                     return
         except (ConnectionLost, h11.LocalProtocolError) as error:
@@ -175,8 +175,8 @@
                 reason=f"{type(error).__name__}: {error}",
             )
             broken = self.final is not None and self.final.outcome is Outcome.BROKEN
-            if not broken and not isinstance(error, ClientStalled) and not self.left():
-                self.front.core.closed_owing(self.rpc_key, str(error))
+            if not broken and not isinstance(error, ClientStalled) and not self.has_client_left():
+                self.front.core.closed_without_answer(self.rpc_key, str(error))
 
     async def leave(self) -> None:
         """End the connection behind something that was just written. What still comes is nobody's any more,
@@ -186,7 +186,7 @@
             self.hung_up = True
             with trio.CancelScope() as self.waiting:
                 self.reach(Stage.IDLE)
-                await self.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                await self.connection.lingering_close(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
 
     def begun(self) -> bool:
         """Whether a part of the next request has been read."""
@@ -196,26 +196,32 @@
         """Leave the connection to the process that follows, if there is one; what the kernel holds unread of
         it goes along. Guards what crosses: a close would reset a request that is on its way.
         """
-        if self.front.closing and self.front.passed_on is not None and not self.begun():
-            await self.front.passed_on(self.connection)
+        if self.front.closing and self.front.pass_connection is not None and not self.begun():
+            await self.front.pass_connection(self.connection)
 
     async def next_request(self) -> h11.Request | None:
         """The next head; None at the connection's end."""
-        head_by = self.connected_at + limits.HEAD_S
+        head_by = self.connected_at + limits.HEAD_TIMEOUT_S
         if not self.begun():
             self.release_ahead()
-            patience = limits.LATE_S if self.front.closing else IDLE_S if self.spoken else limits.HEAD_S
+            patience = (
+                limits.DRAINING_FIRST_BYTE_TIMEOUT_S
+                if self.front.closing
+                else IDLE_S
+                if self.has_sent_request
+                else limits.HEAD_TIMEOUT_S
+            )
             with trio.move_on_after(patience) as self.waiting:
-                self.reach(Stage.IDLE if self.spoken else Stage.SILENT)
+                self.reach(Stage.IDLE if self.has_sent_request else Stage.SILENT)
                 if not await self.connection.fill():
                     return None
             self.waiting = None
-            if not self.connection.unread and (self.front.passed_on or not await self.came_meanwhile()):
+            if not self.connection.unread and (self.front.pass_connection or not await self.came_meanwhile()):
                 return None
-        self.reach(Stage.HALF)
-        if self.spoken:
-            head_by = trio.current_time() + limits.HEAD_S
-        self.spoken = True
+        self.reach(Stage.PARTIAL)
+        if self.has_sent_request:
+            head_by = trio.current_time() + limits.HEAD_TIMEOUT_S
+        self.has_sent_request = True
         with trio.move_on_at(head_by):
             request = await self.next_event()
             return request if isinstance(request, h11.Request) else None
@@ -242,7 +248,7 @@
                     raise Answered(503, "too much was sent ahead", (CLOSE,))
                 data = await self.connection.receive()
                 self.since = trio.current_time()
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
                 self.arrivals.add(len(data), self.since)
                 self.parser.receive_data(data)
             elif isinstance(event, h11.ConnectionClosed):
@@ -250,7 +256,7 @@
             else:
                 return event  # type: ignore[return-value]
 
-    async def attend(self, request: h11.Request) -> None:
+    async def handle_request(self, request: h11.Request) -> None:
         path = request.target.partition(b"?")[0].decode("latin-1")
         if path == "/up":
             self.require(request, b"GET")
@@ -269,13 +275,13 @@
             raise Answered(405, "method not allowed", ((b"allow", method),))
 
     async def body(self, length: bytes = b"0") -> bytes:
-        if length.isdigit() and int(length) > limits.LARGEST_BODY:
+        if length.isdigit() and int(length) > limits.MAX_BODY_BYTES:
             raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
         parts: list[bytes] = []
         size = 0
-        with trio.move_on_after(limits.BODY_S):
+        with trio.move_on_after(limits.BODY_TIMEOUT_S):
             while True:
-                with trio.move_on_after(limits.STALL_S) as stall:
+                with trio.move_on_after(limits.STALL_TIMEOUT_S) as stall:
                     event = await self.next_event()
                 if stall.cancelled_caught:
                     raise Answered(408, "the body does not go on", (CLOSE,))
@@ -285,9 +291,9 @@
                 if not isinstance(event, h11.Data):
                     raise ConnectionLost("the client left within its body")
                 size += len(event.data)
-                if size > limits.LARGEST_BODY:
+                if size > limits.MAX_BODY_BYTES:
                     raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
-                if not self.front.hold(self, len(event.data)):
+                if not self.front.reserve_payload(self, len(event.data)):
                     raise Answered(503, "too many large requests", ((b"retry-after", b"1"), CLOSE))
                 parts.append(bytes(event.data))
         raise Answered(408, "the body did not arrive in time", (CLOSE,))
@@ -305,7 +311,7 @@
         rpc.payload = replace(rpc.payload, other_fields=end_to_end(request.headers))
         # In no local variable: it would hold the body for as long as the answer streams, uncounted.
         rpc.payload = replace(rpc.payload, body=await self.body(headers.get(b"content-length", b"0")))
-        if self.front.refuses:
+        if self.front.is_refusing:
             raise Answered(503, "stopping", (CLOSE,))
         # One that waited behind another's answer: its client's clock ran meanwhile.
         arrived_at = self.arrivals.of_last_parsed(len(self.parser.trailing_data[0]))
@@ -339,7 +345,7 @@
     def keep_ahead(self, data: bytes) -> None:
         """Keep what belongs to later requests for the parser, within the bounds on memory."""
         room = self.ahead_bytes + len(data) <= LARGEST_AHEAD
-        if self.dropping or not room or not self.front.payloads.take(len(data)):
+        if self.dropping or not room or not self.front.payloads.acquire(len(data)):
             self.dropping = True
             return
         self.ahead_bytes += len(data)
@@ -349,8 +355,8 @@
     async def conclude(self) -> None:
         final = self.final
         assert final is not None
-        if isinstance(final.verdict, int):  # an engine's own word on a faulty request
-            await self.answer(final.verdict, "the engine can't use the request")
+        if isinstance(final.server_status, int):  # an engine's own word on a faulty request
+            await self.answer(final.server_status, "the engine can't use the request")
         elif final.outcome is Outcome.SERVED:
             if not self.head_sent:
                 await self.write(self.encode(h11.Response(status_code=200, headers=STREAM_HEAD)))
@@ -389,7 +395,7 @@
     draining = False  # answers say `Connection: close`
     closing = False  # connections end after their answer
 
-    def attend(self, connection: Connection) -> ClientConnection:
+    def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
     async def linger(self) -> None:
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -7,11 +7,11 @@
 
 import trio
 
-from .budget import Descriptors, Use
+from .budget import DescriptorBudget, Use
 from .connection import Connection, Dial, LocalShortage, dial
 
 
-class Line(Protocol):
+class PooledConnection(Protocol):
     """A connection with its parser."""
 
     @property
@@ -24,37 +24,37 @@
         """Make ready for the next call, after one that went to its end; False if there can be none."""
 
 
-L = TypeVar("L", bound=Line)
+L = TypeVar("L", bound=PooledConnection)
 
 
-class Pool(Generic[L]):
+class ConnectionPool(Generic[L]):
     """The idle connections to one engine."""
 
     # An engine closes a connection that stood idle for `conn_idle_s`, and what is written to it from then on
     # ends in a reset. Guards against that race: nothing idle for more than this share of it is used again.
-    REUSED_BEFORE = 0.75
+    MAX_IDLE_SHARE = 0.75
 
     def __init__(
         self,
         address: str,
         wrap: Callable[[Connection], L],
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         dial: Dial = dial,
-        most_idle: int = 1 << 30,
-        rest_s: float = 0.0,
+        max_idle: int = 1 << 30,
+        min_idle_s: float = 0.0,
     ) -> None:
         self.address = address
         self._wrap = wrap
         self._budget = budget
         self._dial = dial
         self._connect_timeout_s = connect_timeout_s
-        self._reusable_s = conn_idle_s * self.REUSED_BEFORE
-        self._most_idle = most_idle
-        self._rest_s = rest_s  # how long a connection stays unused after a call
+        self._reusable_s = conn_idle_s * self.MAX_IDLE_SHARE
+        self._max_idle = max_idle
+        self._min_idle_s = min_idle_s  # how long a connection stays unused after a call
         self._idle: list[tuple[float, L]] = []  # the last one put back is the first one taken
-        budget.evictors[Use.ENGINE].append(self.evict)
+        budget.eviction_callbacks[Use.ENGINE].append(self.evict)
 
     async def get(self) -> L:
         """An idle line, else a new one; DialFailed when none comes up, LocalShortage if through us."""
@@ -63,25 +63,25 @@
             if trio.current_time() - since < self._reusable_s and await line.usable():
                 return line
             line.connection.close()
-        if not self._budget.take(Use.ENGINE):
+        if not self._budget.acquire(Use.ENGINE):
             raise LocalShortage("no descriptor to spare")
-        on_close = lambda: self._budget.give_back(Use.ENGINE)  # noqa: E731
+        on_close = lambda: self._budget.release(Use.ENGINE)  # noqa: E731
         return self._wrap(await self._dial(self.address, self._connect_timeout_s, on_close))
 
     def _take_rested(self) -> tuple[float, L] | None:
         """The idle line put back last among those that have rested."""
-        rested_since = trio.current_time() - self._rest_s
+        rested_since = trio.current_time() - self._min_idle_s
         for place in range(len(self._idle) - 1, -1, -1):
             if self._idle[place][0] <= rested_since:
                 return self._idle.pop(place)
         return None
 
-    def give_back(self, line: L, whole: bool) -> None:
+    def release(self, line: L, whole: bool) -> None:
         """Keep the connection if its last exchange went to its end, else close it."""
         if whole and line.renew():
-            line.connection.rest()
+            line.connection.release_buffers()
             self._idle.append((trio.current_time(), line))
-            if len(self._idle) > self._most_idle:
+            if len(self._idle) > self._max_idle:
                 self.evict()
         else:
             line.connection.close()
@@ -106,5 +106,5 @@
     def discard(self) -> None:
         """The subchannel is gone: close what is idle and leave the budget's list."""
         self.close_idle()
-        if self.evict in self._budget.evictors[Use.ENGINE]:
-            self._budget.evictors[Use.ENGINE].remove(self.evict)
+        if self.evict in self._budget.eviction_callbacks[Use.ENGINE]:
+            self._budget.eviction_callbacks[Use.ENGINE].remove(self.evict)
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -14,8 +14,8 @@
 
 from sorreldock.interface import AttemptEnded, Status
 from sorreldock.kserve.framing import Code
-from sorreldock.protocol import engine as engine_client
 from sorreldock.protocol import front as limits
+from sorreldock.protocol import server_client
 from sorreldock.protocol.http.client import Events
 from sorreldock.transport import admission
 from sorreldock.transport.budget import Use
@@ -95,8 +95,8 @@
 )
 @trio_test
 async def test_a_client_that_stops_halfway_is_let_go(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
     async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         if begun:
@@ -108,7 +108,7 @@
 
 @trio_test
 async def test_a_body_on_a_slow_link_may_take_longer_than_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "STALL_S", 0.3)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.3)
     engine = ScriptedServer()
     async with running_router(engine) as router:
         wire = await router.connect()
@@ -142,13 +142,13 @@
 
 @trio_test
 async def test_silent_clients_make_room_before_usual_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admission, "LEAST_S", 0.0)
+    monkeypatch.setattr(admission, "MIN_STAGE_AGE_S", 0.0)
     async with running_router(ScriptedServer()) as router:
         usual = await router.connect()
         await usual.stream.send_all(raw())
         while b"0\r\n\r\n" not in await usual.stream.receive_some(4096):
             pass
-        router.program.budget.most[Use.CLIENT] = 8
+        router.program.budget.max_used[Use.CLIENT] = 8
         silent = [await router.connect() for _ in range(7)]
         while router.program.budget.used[Use.CLIENT] < 8:
             await trio.sleep(0.01)
@@ -202,7 +202,7 @@
 async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt(
     script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
     engines = [ScriptedServer(), ScriptedServer()]
     for engine in engines:
         engine.scripts = [script]
@@ -219,7 +219,7 @@
 async def test_a_stream_spoilt_later_ends_the_clients_connection_without_the_last_chunk(
     script: Callable[[ReceivedRequest], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(engine_client, "SILENCE_S", 0.2)
+    monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.2)
 
     async def well_begun(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
@@ -275,7 +275,7 @@
         gateway = router.program.core._gateway
         statuses = [(await router.post(x_object=None, x_props=f"prefix=p{n}")).status for n in range(12)]
         assert sorted(statuses) == [200] * 11 + [400]
-        assert all(replica.strikes == 0 for replica in gateway.replicas.values())
+        assert all(replica.failure_count == 0 for replica in gateway.replicas.values())
 
 
 def test_events_are_cut_where_they_end_and_are_never_changed() -> None:
@@ -294,8 +294,8 @@
 
 @trio_test
 async def test_a_grpc_client_that_stops_halfway_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "HEAD_S", 0.1)
-    monkeypatch.setattr(limits, "STALL_S", 0.1)
+    monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(limits, "STALL_TIMEOUT_S", 0.1)
     async with running_router(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         silent = await trio.open_tcp_stream(host, int(port))
@@ -336,7 +336,7 @@
 
 @trio_test
 async def test_a_grpc_message_that_never_ends_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_client, "OPENING_S", 0.1)
+    monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
 
     async def cut(call: Stream) -> None:
         await call.start()
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -122,8 +122,8 @@
 async def test_many_clients_cannot_lock_operators_out() -> None:
     async with running_router(ScriptedServer(), console="127.0.0.1:0", sockets=100) as router:
         budget: Any = router.program.budget
-        crowd = [await router.connect() for _ in range(2 * sum(budget.most.values()))]
-        assert sum(budget.most.values()) + console.DESCRIPTORS <= 100 - 100 // 6
+        crowd = [await router.connect() for _ in range(2 * sum(budget.max_used.values()))]
+        assert sum(budget.max_used.values()) + console.DESCRIPTORS <= 100 - 100 // 6
         assert await send_command(router, "ready") == "ok serving\n"
         for wire in crowd:
             await wire.stream.aclose()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,45 +15,54 @@
 from hypothesis import strategies as st
 from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
 
-from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
-from sorreldock.kserve.framing import Farewell, Farewells
+from sorreldock.interface import (
+    AttemptEnded,
+    Event,
+    FirstToken,
+    Metric,
+    Probe,
+    RequestArrived,
+    StartAttempt,
+    Status,
+)
+from sorreldock.kserve.framing import GoAway, GoAwayFilter
 from sorreldock.program.serve import max_open_rpcs, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
-from sorreldock.transport.budget import Descriptors, Use
-from sorreldock.transport.ring import Ring
+from sorreldock.transport.budget import DescriptorBudget, Use
+from sorreldock.transport.ring import RingBuffer
 from sorreldock.wire import decode_settings
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=40))))
 def test_a_ring_returns_bytes_in_the_order_of_their_writing(steps: list[tuple[bool, bytes]]) -> None:
-    ring, expected = Ring(32), b""
+    ring, expected = RingBuffer(32), b""
     for take, data in steps:
         if take:
-            assert ring.take() == expected
+            assert ring.read_all() == expected
             expected = b""
         else:
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 32 - len(expected))
             expected += data[:done]
-            span = bytes(ring.held_span())[:3]
+            span = bytes(ring.readable_span())[:3]
             assert expected.startswith(span)
-            ring.shrank(len(span))
+            ring.consume(len(span))
             expected = expected[len(span) :]
-    assert ring.take() == expected
+    assert ring.read_all() == expected
 
 
 @given(st.lists(st.integers(1, 20)))
 def test_goaway_frames_are_found_in_bytes_cut_anywhere(cuts: list[int]) -> None:
     other_frames = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
     goaway = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
-    data, parser = other_frames + goaway + other_frames, Farewells(preface=False)
+    data, parser = other_frames + goaway + other_frames, GoAwayFilter(preface=False)
     rest, found = b"", []
     for length in [*cuts, len(data)]:
-        rest_of_piece, farewells = parser.strip(data[:length])
+        rest_of_piece, goaways = parser.strip(data[:length])
         data = data[length:]
-        rest, found = rest + rest_of_piece, found + farewells
-    assert (rest, found) == (other_frames * 2, [Farewell(5, 2)])
+        rest, found = rest + rest_of_piece, found + goaways
+    assert (rest, found) == (other_frames * 2, [GoAway(5, 2)])
 
 
 @pytest.mark.parametrize(
@@ -117,7 +126,7 @@
         with trio.fail_after(1.0):
             assert (await router.post(x_expires_in="200m")).status == 504
         assert trio.current_time() - began >= 0.15
-        assert not router.program.core.open
+        assert not router.program.core.open_rpcs
 
 
 @trio_test
@@ -131,7 +140,7 @@
 
         def send_to_all(events: Sequence[Event]) -> list[Any]:
             arrived = [e for e in events if isinstance(e, RequestArrived)]
-            return [Send(e.request, replica) for e in arrived for replica in core.subchannels]
+            return [StartAttempt(e.request, replica) for e in arrived for replica in core.subchannels]
 
         recorder = EventRecorder(core._gateway, send_to_all)
         await router.post(x_expires_in="200m")
@@ -174,7 +183,7 @@
 @trio_test
 async def test_idle_client_connections_are_closed_for_new_ones() -> None:
     async with running_router(ScriptedServer()) as router:
-        router.program.budget.most[Use.CLIENT] = 3
+        router.program.budget.max_used[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
         for wire in idle:
@@ -197,37 +206,37 @@
         async with trio.open_nursery() as nursery:
             for number in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{number}"))
-        while router.program.core.open:
+        while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         assert router.program.budget.used[Use.ENGINE] == 4
 
 
 def test_the_descriptor_budget_evicts_an_idle_connection_before_it_refuses() -> None:
-    budget = Descriptors(100)
-    taken = sum(budget.take(Use.ENGINE) for _ in range(100))
+    budget = DescriptorBudget(100)
+    taken = sum(budget.acquire(Use.ENGINE) for _ in range(100))
     assert taken == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
-        budget.give_back(Use.ENGINE)
+        budget.release(Use.ENGINE)
         return True
 
     evicted: list[int] = []
-    budget.evictors[Use.ENGINE] += [lambda n=n: evicted.append(n) or evict() for n in range(1024)]  # type: ignore
-    assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
+    budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: evicted.append(n) or evict() for n in range(1024)]  # type: ignore
+    assert all(budget.acquire(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
     assert evicted == [*range(1024), *range(1024)]
-    budget.share(20)  # the peer process has the rest
-    budget.let_go()
+    budget.set_portion(20)  # the peer process has the rest
+    budget.close_excess_idle()
     assert budget.used[Use.ENGINE] == 10
-    budget.share(None)
-    assert budget.most[Use.ENGINE] == 42
+    budget.set_portion(None)
+    assert budget.max_used[Use.ENGINE] == 42
 
 
 def test_memory_and_descriptor_limits_set_the_budgets() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
     assert [max_open_rpcs(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third is for clients alone; some are for the program itself
-        most = Descriptors(limit).most
-        assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
+        max_used = DescriptorBudget(limit).max_used
+        assert limit / 3 < max_used[Use.CLIENT] and sum(max_used.values()) <= limit - 16
 
 
 @trio_test
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -284,7 +284,7 @@
         subchannels = dict(router.program.core.subchannels)
         wire = await router.start_post()
         await wire.next()
-        router.program.resolver.move(second.address)
+        router.program.resolver.change_address(second.address)
         await second.watching.wait()
         finish.set()
         assert [(await wire.next()).data for _ in EVENTS] == EVENTS
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -19,7 +19,7 @@
 from sorreldock.program.phases import Phase
 from sorreldock.protocol.http.arrivals import Arrivals
 from sorreldock.protocol.http.discovery import decode_result
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection
 from sorreldock.transport.listener import Listener
 
@@ -62,9 +62,9 @@
     accepted.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(accepted), lambda: None)
     client.sendall(b"x" * 50_000)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     client.close()  # loopback delivers the close before this returns
-    assert connection.ended()
+    assert connection.has_peer_closed()
     connection.close()
 
 
@@ -121,7 +121,7 @@
 
 @trio_test
 async def test_connections_in_the_backlog_are_served_when_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -168,7 +168,7 @@
 
 @trio_test
 async def test_the_backlog_is_served_after_accepts_that_fail_while_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -192,7 +192,7 @@
 
 @trio_test
 async def test_a_new_connection_is_served_once_descriptors_are_available_again() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -235,7 +235,7 @@
 
 @trio_test
 async def test_connections_are_refused_before_the_listener_listens() -> None:
-    listener = Listener("127.0.0.1:0", Descriptors(1024))
+    listener = Listener("127.0.0.1:0", DescriptorBudget(1024))
     host, port = (await listener.bind()).rsplit(":", 1)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection((host, int(port)))
@@ -275,7 +275,7 @@
 ) -> None:
     server = SharedEngine()
     async with running_router(server, operator=BOTH) as router, grpc_client(router) as client:
-        router.program.fronts["kserve"].refuse_from = trio.current_time()
+        router.program.fronts["kserve"].refuse_requests_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not server.grpc_calls
 
@@ -349,10 +349,10 @@
         await started.wait()
         [connection] = router.program.fronts["kserve"].clients
         [stream] = connection.streams.values()
-        assert not stream.left()
+        assert not stream.has_client_left()
         client.end.stream.socket.close()  # type: ignore[attr-defined]
         assert (
-            stream.left() and connection.streams
+            stream.has_client_left() and connection.streams
         )  # no task has run since the close, so its reader hasn't noticed it
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -33,7 +33,7 @@
 from sorreldock.program import handover
 from sorreldock.program.takeover import SOCKET_NAME, Link, Takeover
 from sorreldock.routing.types import ResolverResult, Target
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 
 POST = "/v1/chat/completions"
 
@@ -204,11 +204,11 @@
     assert (
         handover.descriptor_share(usable, 0, False, 0, True) == usable - handover.LEAVING_PROCESS_DESCRIPTORS
     )
-    budget = Descriptors(364)
-    assert all(budget.take(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
-    budget.share(handover.descriptor_share(usable, 80, True, 0, False), leaving=True)
-    assert not budget.take(Use.CLIENT)  # no new clients, but attempts of open requests
-    assert sum(budget.take(Use.ENGINE) for _ in range(100)) == handover.LEAVING_PROCESS_DESCRIPTORS
+    budget = DescriptorBudget(364)
+    assert all(budget.acquire(use) for use in (Use.CLIENT, Use.ENGINE) for _ in range(40))
+    budget.set_portion(handover.descriptor_share(usable, 80, True, 0, False), leaving=True)
+    assert not budget.acquire(Use.CLIENT)  # no new clients, but attempts of open requests
+    assert sum(budget.acquire(Use.ENGINE) for _ in range(100)) == handover.LEAVING_PROCESS_DESCRIPTORS
 
 
 def target(state: ReplicaState, started_at: float = 0.0, uid: str = "e1") -> Target:
@@ -222,13 +222,13 @@
     uids: set[str] = field(default_factory=set)
     counts: dict[int, int] = field(default_factory=dict)
 
-    def resolved(self, result: ResolverResult) -> None:
+    def apply_resolver_result(self, result: ResolverResult) -> None:
         self.uids |= {t.uid for t in result.targets if t.state is ReplicaState.DRAINING}
 
-    def out(self) -> dict[int, int]:
+    def attempts_in_flight(self) -> dict[int, int]:
         return {7: 2}
 
-    def out_elsewhere(self, counts: dict[int, int]) -> None:
+    def set_peer_attempts(self, counts: dict[int, int]) -> None:
         self.counts = counts
 
 
@@ -237,7 +237,7 @@
     """A process may have a predecessor that is still exiting and a successor that has just started."""
     cores = [RecordingCore() for _ in range(3)]
     takeovers = [
-        Takeover("", c, None, Descriptors(364), lambda *a, **k: None, 1, lambda o: None) for c in cores
+        Takeover("", c, None, DescriptorBudget(364), lambda *a, **k: None, 1, lambda o: None) for c in cores
     ]  # type: ignore[arg-type]
     async with trio.open_nursery() as nursery:
         for predecessor, successor in ((0, 1), (1, 2)):
