--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -157,6 +157,7 @@
 
 
 def operator_from(raw: dict[str, Any], settings: Settings) -> Operator:
+    """Parse and check the tables of the operator's file."""
     _check_keys(raw, ("http", "kserve", "engines", "syslog"), "the operator's file")
     http = _table(raw.get("http", {}), "[http]")
     kserve = _table(raw.get("kserve", {}), "[kserve]")
--- a/sorreldock/program/handover.py
+++ b/sorreldock/program/handover.py
@@ -25,6 +25,7 @@
 
 
 def encode(kind: str, **values: Any) -> bytes:
+    """Return a record's bytes; raises PeerProtocolError for one that is too long."""
     body = json.dumps({"kind": kind, **values}, separators=(",", ":")).encode()
     if len(body) > MAX_RECORD_BYTES:
         raise PeerProtocolError(f"record is too long: {len(body)} bytes")
@@ -38,6 +39,7 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
+        """Add received bytes, and return the records that are complete."""
         self._buffer += data
         records = []
         while len(self._buffer) >= LENGTH_PREFIX.size:
@@ -68,6 +70,7 @@
 
 
 def count_field(record: dict[str, Any], name: str) -> int:
+    """Return a field that has to be a non-negative integer."""
     value = record.get(name)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise PeerProtocolError(f"{name} is not a non-negative integer: {value!r}"[:200])
@@ -75,6 +78,7 @@
 
 
 def counts_field(record: dict[str, Any], name: str) -> dict[int, int]:
+    """Return a field that has to be a map of counts by replica."""
     value = record.get(name)
     if not isinstance(value, dict) or not all(isinstance(count, int) for count in value.values()):
         raise PeerProtocolError(f"{name} is not a map of counts")
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -51,6 +51,7 @@
 
 
 def payload_bytes(memory_mb: int) -> int:
+    """Return the maximum size of all payloads together."""
     payload_mb = (memory_mb - PROGRAM_MB) * PAYLOAD_SHARE
     return int(min(max(payload_mb, MIN_PAYLOAD_MB), MAX_PAYLOAD_MB) * 1024 * 1024)
 
@@ -64,6 +65,7 @@
 
 
 def max_open_rpcs(memory_mb: int) -> int:
+    """Return the maximum number of open RPCs."""
     return max(memory_mb * OPEN_RPCS_PER_MB, MIN_OPEN_RPCS)
 
 
@@ -95,6 +97,7 @@
         self.linger_s = LINGER_S
 
     def ready(self) -> bool:
+        """Return whether the router serves and has a server that accepts requests."""
         return self.lifecycle.is_serving and self.core.can_serve()
 
     def _create_clients(self, endpoint: str) -> dict[str, ServerClient]:
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -171,16 +171,14 @@
                     self.add_link(link)
                     self._log("notice", "TAKEOVER", "follows a process that serves", pid=record.get("pid"))
                     return
-            except (
-                OSError,
-                PeerProtocolError,
-                ListError,
-            ) as error:  # such as the file of a dead process, or an incompatible build
+            # For example, the socket file of a dead process or an incompatible build.
+            except (OSError, PeerProtocolError, ListError) as error:
                 fault = str(error)
         link.close()
         self._log("notice", "TAKEOVER", "no process to follow, working alone", reason=fault)
 
     def _restore(self, state: dict[str, Any]) -> None:
+        """Apply the predecessor's list and what its gateway has learned."""
         result = decode_result(state.get("list"), ListKind.CACHED)
         self._resolver.start_from(result.version)
         self._core.apply_resolver_result(result)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -231,7 +231,7 @@
         return [
             {
                 "uid": f"e{index}",
-                "endpoint": address,
+                "endpoint": entry,
                 "az": "ipswich",
                 "model": "m",
                 "pod_group": 0,
@@ -239,9 +239,7 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for index, address in enumerate(
-                [server.address for server in self.servers] + self.extra_addresses
-            )
+            for index, entry in enumerate([entry.address for entry in self.servers] + self.extra_addresses)
         ]
 
     def listing(self) -> dict[str, Any]:
