--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -10,7 +10,7 @@
 from grpc_peers import BOTH_PROTOCOLS, DualProtocolServer, Stream, frame_message, grpc_client, stream_response
 from grpc_peers import request as grpc_request
 from peers import EVENTS, FIELDS, ReceivedRequest, ScriptedServer, request, running_router, trio_test
-from test_parts import Recorder
+from test_parts import EventRecorder
 
 from sorreldock.interface import AttemptEnded, Status
 from sorreldock.kserve.framing import Code
@@ -216,9 +216,9 @@
     for server in servers:
         server.scripts = [script]
     async with running_router(*servers) as router:
-        recorder = Recorder(router.program.core._gateway)
+        recorder = EventRecorder(router.program.core._gateway)
         assert (await router.post()).status == 503  # both answers are malformed: two attempts, no more
-        assert [e.status for e in recorder.of(AttemptEnded)] == [Status.RESET] * 2
+        assert [e.status for e in recorder.events_of(AttemptEnded)] == [Status.RESET] * 2
         assert [len(server.received_requests) for server in servers] == [1, 1]
         assert (await router.post()).whole
 
