--- a/sorreldock/policy/replica.py
+++ b/sorreldock/policy/replica.py
@@ -9,47 +9,51 @@
 from ..interface import ReplicaEntry
 
 SALT_STEP = 0x9E3779B97F4A7C15
-LEAST_WEIGHT = 1e-6  # of a replica that is listed with none: its straws stay comparable
+MIN_WEIGHT = 1e-6  # in place of a listed weight of 0 or less, so that straw lengths stay comparable
 
 
 class Group(Protocol):
-    """A set of replicas with sums that follow its members."""
+    """A set of replicas that keeps sums over its members."""
 
     open_attempts: int
 
-    def changed(self, replica: Replica) -> None:
-        """Take note that the member's capacity is another one now."""
+    def capacity_changed(self, replica: Replica) -> None:
+        """Update the sums after a change of a member's capacity."""
 
-    def reweighted(self, replica: Replica) -> None:
-        """Take note that the member's weight is another one now."""
+    def weight_changed(self, replica: Replica) -> None:
+        """Update the sums after a change of a member's weight."""
 
 
 class Replica:
-    """What this gateway knows of one replica. Times are those of the gateway's clock, in seconds."""
+    """What this gateway knows of one replica; times are seconds of the gateway's clock."""
 
     def __init__(self, entry: ReplicaEntry) -> None:
         self.groups: tuple[Group, ...] = ()
         self.salt = mix(entry.replica + SALT_STEP)
         self._entry = entry
-        self._weight = entry.weight if entry.weight > 0 else LEAST_WEIGHT
+        self._weight = entry.weight if entry.weight > 0 else MIN_WEIGHT
         self._open_attempts = 0
-        self.elsewhere = 0  # attempts that another process of this gateway has out there; part of `busy`
-        self.forget()
-
-    def forget(self) -> None:
-        """Drop all that was learned of the process that ran before."""
-        self.failed_until = self.first_at = self.load_at = self.probed_at = self.heard_at = -math.inf
+        self.peer_process_attempts = 0  # open attempts of the peer process; included in `open_attempts`
+        self.reset_learned()
+
+    def reset_learned(self) -> None:
+        """Drop everything that was learned about the previous server process."""
+        self.ejected_until = self.first_token_at = self.load_reported_at = self.probed_at = (
+            self.probe_answered_at
+        ) = -math.inf
         self.failure_count = 0
-        self.fair = False
-        self.first_s = self.refused = 0.0
-        self.refused_at = self.down_at = -math.inf  # down: no process listened, who does has started since
-        self.passed = (-math.inf, 0.0)  # of the attempt sent last that has begun: when, and its first token
-        self.values: tuple[float, ...] = ()
-        self.p = self.load = 0.0
+        self.probed_as_sample = False
+        self.estimated_first_token_s = self.refusal_level = 0.0
+        # A process that listens after `no_listener_at` has started since then.
+        self.refused_at = self.no_listener_at = -math.inf
+        # Of the attempts with a first token, the one sent last: when it was sent, and its first-token time.
+        self.latest_started_attempt = (-math.inf, 0.0)
+        self.report_values: tuple[float, ...] = ()
+        self.rejection_probability = self.load = 0.0
 
     @property
     def entry(self) -> ReplicaEntry:
-        """Its entry of the list."""
+        """The replica's entry in discovery's list."""
         return self._entry
 
     @entry.setter
@@ -57,24 +61,24 @@
         restarted = entry.started_at != self._entry.started_at
         self._entry = entry
         if restarted:
-            self._tell_changed()
+            self._notify_capacity_changed()
 
     @property
     def weight(self) -> float:
-        """Its share in the draw, in the unit of the list."""
+        """The replica's share in the draw, in the unit of the list's weights."""
         return self._weight
 
     @weight.setter
     def weight(self, weight: float) -> None:
-        weight = weight if weight > 0 else LEAST_WEIGHT
+        weight = weight if weight > 0 else MIN_WEIGHT
         if weight != self._weight:
             self._weight = weight
             for group in self.groups:
-                group.reweighted(self)
+                group.weight_changed(self)
 
     @property
     def open_attempts(self) -> int:
-        """Attempts of this gateway that are out there, streams included."""
+        """Open attempts of this gateway at the replica, streams included."""
         return self._open_attempts
 
     @open_attempts.setter
@@ -84,30 +88,30 @@
         self._open_attempts = open_attempts
 
     @property
-    def failed_until(self) -> float:
-        """When its flag ends; it has none from then on."""
-        return self._failed_until
+    def ejected_until(self) -> float:
+        """The time at which the replica's ejection after a failure ends."""
+        return self._ejected_until
 
-    @failed_until.setter
-    def failed_until(self, until: float) -> None:
-        self._failed_until = until
-        self._tell_changed()
+    @ejected_until.setter
+    def ejected_until(self, until: float) -> None:
+        self._ejected_until = until
+        self._notify_capacity_changed()
 
     @property
-    def down_at(self) -> float:
-        """When no process listened there last."""
-        return self._down_at
+    def no_listener_at(self) -> float:
+        """The last time at which no process listened at the replica's address."""
+        return self._no_listener_at
 
-    @down_at.setter
-    def down_at(self, at: float) -> None:
-        self._down_at = at
-        self._tell_changed()
+    @no_listener_at.setter
+    def no_listener_at(self, at: float) -> None:
+        self._no_listener_at = at
+        self._notify_capacity_changed()
 
     @property
     def started_at(self) -> float:
-        """When its process started at the latest, as far as is known; 0 or less: long ago."""
-        return max(self._entry.started_at, self._down_at)
+        """The latest known start of the replica's server process; 0 or less means long ago."""
+        return max(self._entry.started_at, self._no_listener_at)
 
-    def _tell_changed(self) -> None:
+    def _notify_capacity_changed(self) -> None:
         for group in self.groups:
-            group.changed(self)
+            group.capacity_changed(self)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,7 +10,7 @@
 from helpers import START, call, entry, fleet, gateway, homes, listing, sends, settings
 
 from sorreldock.interface import AttemptEnded, ListKind, Metric, ReplicaState, RequestArrived, Status
-from sorreldock.rules import CROWDED, Gateway
+from sorreldock.rules import CROWDED_MULTIPLE, Gateway
 
 KEYS = [f"key-{k}" for k in range(3000)]
 
@@ -38,7 +38,7 @@
     asked = [call(f"q{n}", session="one") for n in range(60)]
     out = [action for request in asked for action in sends(gw.handle(START, [request]))]
     counts = Counter(action.replica for action in out)
-    assert len(out) == 60 and max(counts.values()) <= 1.5 * CROWDED * 60 / 3 and len(counts) == 3
+    assert len(out) == 60 and max(counts.values()) <= 1.5 * CROWDED_MULTIPLE * 60 / 3 and len(counts) == 3
     for action in out:
         gw.handle(START, [AttemptEnded(action.request, 0, action.replica, Status.OK, 0.5, True)])
     assert all(replica.open_attempts == 0 for replica in gw.replicas.values())
@@ -93,7 +93,7 @@
     for seed in (1, 2):
         gw = gateway(fleet(5), seed=seed)
         before = homes(gateway(fleet(5)), KEYS)
-        gw.replicas[2].p, gw.replicas[2].load_at = 0.4, START
+        gw.replicas[2].rejection_probability, gw.replicas[2].load_reported_at = 0.4, START
         after = homes(gw, KEYS)
         mine = [k for k in KEYS if before[k] == 2]
         diverted = [k for k in mine if after[k] != 2]
@@ -106,7 +106,7 @@
 def test_a_flagged_replica_is_passed_by_and_gets_its_keys_back() -> None:
     gw = gateway(fleet(5))
     before = homes(gw, KEYS[:300])
-    gw.failed(gw.replicas[4])
+    gw.eject(gw.replicas[4])
     during = homes(gw, KEYS[:300], START + 0.1)
     assert 4 not in during.values()
     assert all(during[k] == before[k] for k in during if before[k] != 4)
@@ -132,7 +132,7 @@
     assert set(homes(gateway(fleet(3, "b")), KEYS[:50]).values()) == {1, 2, 3}
     gw = gateway([*fleet(2), entry(11, "b"), entry(12, "b")])
     for replica in (1, 2):
-        gw.failed(gw.replicas[replica])
+        gw.eject(gw.replicas[replica])
     assert set(homes(gw, KEYS[:50], START + 0.1).values()) == {11, 12}
 
 
@@ -140,14 +140,14 @@
     gw = gateway(fleet(4))
     before = homes(gw, KEYS[:100])
     for replica in gw.replicas.values():
-        gw.failed(replica)
+        gw.eject(replica)
     assert homes(gw, KEYS[:100], START + 0.1) == before
 
 
 def test_an_over_used_zone_is_rejected_for_its_share_of_the_keys() -> None:
     """A zone of few replicas never rejects a key on all of them, so the zone has a p of its own."""
     gw = gateway([*fleet(4), entry(11, "b"), entry(12, "b")])
-    gw.zone_p = 0.3
+    gw.zone_rejection_probability = 0.3
     found = homes(gw, KEYS)
     abroad = sum(1 for replica in found.values() if replica > 10)
     assert abs(abroad - 0.3 * len(KEYS)) < 4 * math.sqrt(0.21 * len(KEYS))
@@ -158,18 +158,18 @@
     """On a quiet day a fifth of the requests crossed zones for nothing, at the price of crossings."""
     gw = gateway([*fleet(4), entry(11, "b")])
     gw.zone_load = {"a": 2.0, "b": 1.0}
-    gw.lateness = late
+    gw.late_fraction = late
     for k in range(20):
         gw.now = START + k
-        gw.steer_zone()
-    assert (gw.zone_p > 0.2) is moves
+        gw.update_zone_rejection()
+    assert (gw.zone_rejection_probability > 0.2) is moves
 
 
 def test_p_fades_while_no_over_use_is_seen() -> None:
     """A rejected replica is seldom asked again, so without fading it stayed rejected for want of a report."""
     gw = gateway(fleet(5))
     before = homes(gw, KEYS[:200])
-    gw.replicas[2].p, gw.replicas[2].load_at = 1.0, START
+    gw.replicas[2].rejection_probability, gw.replicas[2].load_reported_at = 1.0, START
     assert 2 not in homes(gw, KEYS[:200], START + 0.001).values()
     assert homes(gw, KEYS[:200], START + 60.0) == before
 
@@ -208,7 +208,7 @@
         gw.handle(START, [AttemptEnded(sent.request, 0, sent.replica, Status.OK, 0.1, True, 900)])
     home = gw.replicas[sent.replica]
     # Attempts of one of 200 gateways at this replica, and a load report.
-    home.open_attempts, home.p, home.load_at = 3, 0.8, START
+    home.open_attempts, home.rejection_probability, home.load_reported_at = 3, 0.8, START
     [sent] = sends(gw.handle(START, [turn("next", prompt)]))
     assert (sent.replica == home.entry.replica) == (prompt == 5000)
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 
 from sorreldock.hashing import hash_text, mix
 from sorreldock.interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
-from sorreldock.policy.draw import STRAWS_UP_TO, longest_straw, sampled_rounds
+from sorreldock.policy.draw import MAX_STRAW_REPLICAS, longest_straw, sampled_rounds
 from sorreldock.policy.group import ReplicaGroup
 from sorreldock.policy.replica import Replica
 from sorreldock.rules import Gateway
@@ -34,7 +34,7 @@
 
 
 def test_a_small_fleet_draws_straws_as_before() -> None:
-    members = [replica(number) for number in range(STRAWS_UP_TO)]
+    members = [replica(number) for number in range(MAX_STRAW_REPLICAS)]
     small = group(members)
     for key in KEYS[:200]:
         assert small.draw(key, 0) is longest_straw(members, mix(key))
@@ -82,12 +82,12 @@
 
 
 def test_a_fleet_that_grows_past_the_bound_does_not_move_all_keys_at_once() -> None:
-    fleet = group([replica(number) for number in range(STRAWS_UP_TO)])
+    fleet = group([replica(number) for number in range(MAX_STRAW_REPLICAS)])
     before = winners(fleet)
-    for number in range(STRAWS_UP_TO, STRAWS_UP_TO + 8):
+    for number in range(MAX_STRAW_REPLICAS, MAX_STRAW_REPLICAS + 8):
         fleet.add(replica(number))
     moved = sum(a is not b for a, b in zip(before, winners(fleet), strict=True))
-    assert moved < (8 / STRAWS_UP_TO * 2 + 0.02) * len(KEYS)
+    assert moved < (8 / MAX_STRAW_REPLICAS * 2 + 0.02) * len(KEYS)
 
 
 def test_weights_without_measure_neither_stop_the_draw_nor_the_sums() -> None:
@@ -108,14 +108,14 @@
         warm = member.started_at <= 0.0 or age >= GUARANTEES.warm_up_s
         share = GUARANTEES.cold_share
         warmth = 1.0 if warm else share + (1.0 - share) * max(age, 0.0) / GUARANTEES.warm_up_s
-        total += 0.0 if member.failed_until > now else member.weight * warmth
+        total += 0.0 if member.ejected_until > now else member.weight * warmth
     return total
 
 
 def test_sums_that_are_kept_are_those_added_up_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     from sorreldock.policy import capacity
 
-    monkeypatch.setattr(capacity, "REBUILT_AFTER", 500)
+    monkeypatch.setattr(capacity, "MAX_CHANGES_BEFORE_REBUILD", 500)
     draw, now = random.Random(3), START
     members = [
         replica(n, draw.uniform(0.5, 2.0), draw.choice((0.0, now - 5.0, now + 3.0))) for n in range(200)
@@ -126,15 +126,15 @@
         member = draw.choice(members)
         match draw.randrange(6):
             case 0:
-                member.failed_until = now + draw.uniform(0.1, 8.0)
+                member.ejected_until = now + draw.uniform(0.1, 8.0)
             case 1:
-                member.down_at = now
+                member.no_listener_at = now
             case 2:
                 member.weight = draw.uniform(0.1, 3.0)
             case 3:
                 member.open_attempts += 1
             case 4:
-                member.forget()
+                member.reset_learned()
             case 5 if member in fleet:
                 fleet.discard(member)
             case _:
@@ -142,7 +142,7 @@
                     fleet.add(member)
         here = [member for member in members if member in fleet]
         assert fleet.capacity(now) == pytest.approx(added_up(here, now), rel=1e-6, abs=1e-6)
-        assert fleet.flagged(now) == sum(member.failed_until > now for member in here)
+        assert fleet.ejected_count(now) == sum(member.ejected_until > now for member in here)
         assert fleet.open_attempts == sum(member.open_attempts for member in here)
         assert fleet.mean_weight == pytest.approx(sum(member.weight for member in here) / max(len(here), 1))
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -157,7 +157,7 @@
         gw.handle(START + 0.1, [call("b", session="s", now=START + 0.1)])
         gw.handle(START + 0.2, [FirstToken("b", 0, first.replica, 0.1)])
     copies = sends(gw.handle(START + late.delay_s, [TimerFired(late.token)]))
-    assert (gw.replicas[first.replica].failed_until > START + late.delay_s) is not answers
+    assert (gw.replicas[first.replica].ejected_until > START + late.delay_s) is not answers
     assert not copies
 
 
@@ -190,7 +190,7 @@
             gw.handle(START, [ended(f"r{k}", first[0], 0, Status.FULL)])
     answers = gw.handle(START + 0.1, [call(f"x{k}", now=START + 0.1) for k in range(20)])
     assert any(isinstance(a, RefuseRequest) for a in answers)
-    rejecting = gw.refusals(gw.replicas[1])
+    rejecting = gw.refusal_probability(gw.replicas[1])
     assert rejecting >= 0.5 and len(sends(answers)) < 20
 
 
@@ -254,7 +254,7 @@
         cold = [entry(k, started_at=START if k == size else 0.0) for k in range(1, size + 1)]
         gw = gateway(cold, guarantees=guarantees)
         for number in range(1, size):
-            gw.failed(gw.replicas[number])
+            gw.eject(gw.replicas[number])
         taken = sum(s.replica == size for k in range(900) for s in sends(gw.handle(START, [call(f"x{k}")])))
         theirs = 900 * share * choices / size
         assert 0 < taken < theirs + 4 * math.sqrt(theirs)
@@ -267,7 +267,7 @@
     for session in map(str, range(60)):
         some = [entry(k, started_at=START if k < 4 else 0.0) for k in range(1, 9)]
         gw = gateway(some, metrics=(Metric.QUEUE_LENGTH,))
-        gw.fresh[SAFE.name] = 100.0
+        gw.new_tokens_per_turn[SAFE.name] = 100.0
         gw.handle(START, [ProbeEnded(k, Status.OK, 0.01, (0.0,)) for k in range(1, 9)])
         met = []
         for turn in range(3):
@@ -287,8 +287,8 @@
     """
     before = homes(gateway(), map(str, range(60)))
     gw = gateway(gateways=gateways, metrics=(Metric.QUEUE_LENGTH,))
-    gw.zone_first["a"] = 5.0
-    gw.replicas[1].first_s, gw.replicas[1].load_at = 4.9, START + 60.0
+    gw.zone_first_token_s["a"] = 5.0
+    gw.replicas[1].estimated_first_token_s, gw.replicas[1].load_reported_at = 4.9, START + 60.0
     assert (homes(gw, map(str, range(60)), START + 60.0) == before) is stay
 
 
@@ -402,11 +402,11 @@
     drawn = [replica for _, replica in gw.candidates(Request(call("r", session="s"), SAFE, 1), gw.local_zone)]
     assert 1 < len(drawn) < 24
     for replica in [*drawn, *drawn]:
-        gw.over_used(replica)
+        gw.add_refusal(replica)
     served = sends(gw.handle(START + 0.01, [call(f"r{k}", session="s") for k in range(20)]))
     assert len(served) == 20 and not {s.replica for s in served} & {r.entry.replica for r in drawn}
     for replica in [*gw.local_zone, *gw.local_zone]:
-        gw.over_used(replica)
+        gw.add_refusal(replica)
     actions = gw.handle(START + 0.02, [call("full", session="s")])
     assert any(isinstance(a, RefuseRequest) for a in actions) and not sends(actions)
 
@@ -416,7 +416,7 @@
     [first] = sends(gw.handle(START, [call("first")]))
     for replica in gw.replicas.values():
         if replica.entry.replica != first.replica:
-            gw.failed(replica)
+            gw.eject(replica)
     told = ended("first", first, 0, Status.FULL)
     actions = gw.handle(START + 0.01, [told, *(call(f"r{k}") for k in range(20))])
     assert {s.request for s in sends(actions)} >= {f"r{k}" for k in range(20)}
@@ -445,10 +445,10 @@
 
 def test_a_fresh_start_resets_what_was_believed() -> None:
     gw = gateway()
-    gw.failed(gw.replicas[1])
-    gw.replicas[1].p = 1.0
+    gw.eject(gw.replicas[1])
+    gw.replicas[1].rejection_probability = 1.0
     gw.handle(START + 1.0, [listing(entry(1, started_at=START + 0.5), kind=ListKind.DELTA)])
-    assert gw.replicas[1].failed_until < START and gw.replicas[1].p == 0.0
+    assert gw.replicas[1].ejected_until < START and gw.replicas[1].rejection_probability == 0.0
     assert gw.capacity_share(gw.replicas[1]) < 1.0
 
 
@@ -462,8 +462,8 @@
         now += timers[0].delay_s
         assert gw.handle(now, [TimerFired(timers[0].token)]) == [Subscribe()]
         actions = gw.handle(now + 0.5, [ReplicaList(ListKind.LOST)])
-        gw.failed(gw.replicas[1])
-    assert gw.replicas[1].failed_until <= now + 20.5
+        gw.eject(gw.replicas[1])
+    assert gw.replicas[1].ejected_until <= now + 20.5
     timers = [a for a in actions if isinstance(a, SetTimer)]
     gw.handle(now + 5, [TimerFired(timers[0].token)])
     assert gw.handle(now + 6, [ReplicaList(ListKind.DELTA)]) == []
@@ -647,13 +647,13 @@
         gw.handle(now + 0.1, [ProbeEnded(sent.replica, Status.OK, 0.1, (9.0,))])
     now += again.delay_s
     gw.probe_credit, actions = 6.0, gw.handle(now, [TimerFired(again.token)])
-    assert (gw.replicas[sent.replica].failed_until > now) is not reports
-    for gw.moves in (0.0, 3.0) if reports else ():  # its answer may be lost: first tokens earn moves
+    assert (gw.replicas[sent.replica].ejected_until > now) is not reports
+    for gw.move_credit in (0.0, 3.0) if reports else ():  # its answer may be lost: first tokens earn moves
         assert CancelAttempt("a", 0) not in actions
         now += 1.2
         gw.handle(now, [TimerFired(again.token)])
         actions = gw.handle(now, [ProbeEnded(sent.replica, Status.OK, 0.1, (0.0,)), TimerFired(again.token)])
-    assert CancelAttempt("a", 0) in actions and gw.moves == (2.0 if reports else 0.0)
+    assert CancelAttempt("a", 0) in actions and gw.move_credit == (2.0 if reports else 0.0)
     assert sends(gw.handle(now, [ended("a", sent, 0, Status.CANCELLED)]))[0].replica != sent.replica
 
 
@@ -662,11 +662,11 @@
     [send] = sends(first.handle(START, [call("a")]))
     first.handle(START, [ended("a", send, 0, Status.ERROR)])
     told = json.loads(json.dumps(first.snapshot()))
-    flagged = first.replicas[send.replica].failed_until
+    flagged = first.replicas[send.replica].ejected_until
     for gw, until in ((second, flagged), (other, -math.inf)):  # other settings: nothing of it is taken
         gw.handle(START + 0.1, [Learned(told)])
-        assert gw.replicas[send.replica].failed_until == until
-    assert second.replicas[send.replica].failure_count == 1 and second.seen == first.seen
+        assert gw.replicas[send.replica].ejected_until == until
+    assert second.replicas[send.replica].failure_count == 1 and second.prefixed_count == first.prefixed_count
     started = gateway([entry(send.replica, started_at=START - 1)])
     started.handle(START + 0.1, [Learned(told)])
     # A server process that has started since is another one.
