--- a/sorreldock/interface.py
+++ b/sorreldock/interface.py
@@ -1,6 +1,7 @@
-"""What a `Gateway` is told and what it answers: settings, events and actions.
+"""The settings, events and actions of a `Gateway`.
 
-Times are seconds on the clock that `Gateway.handle` is given; sizes of prompts are tokens.
+Times are seconds of the clock whose time is passed to `Gateway.handle`; sizes of prompts are in tokens.
+Attempts are numbered from 0 within their request.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class SettingsError(ValueError):
-    """A required setting is missing or impossible; the message names it."""
+    """A required setting is missing or has an impossible value; the message names it."""
 
 
 class Effect(Enum):
@@ -23,7 +24,7 @@
 
 
 class DedupScope(Enum):
-    """Which replicas drop the repeats of a keyed request."""
+    """The replicas among which a repeated keyed request is recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +32,7 @@
 
 
 class Metric(Enum):
-    """The values a replica's load report may hold."""
+    """A kind of value in a replica's load report."""
 
     IN_FLIGHT = "in_flight"
     QUEUE_LENGTH = "queue_length"
@@ -45,7 +46,7 @@
 
 
 class ReportVia(Enum):
-    """How load reports reach a gateway."""
+    """The way in which load reports reach a gateway."""
 
     ANSWERS = "answers"
     PROBE = "probe"
@@ -53,7 +54,7 @@
 
 
 class WeightKind(Enum):
-    """What a replica's listed weight means; only LIVE ones change with load."""
+    """The meaning of a replica's listed weight; only LIVE ones change with load."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -63,7 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests, as the settings describe it."""
+    """A class of requests as the settings describe it.
+
+    The aimed response time is `aim_s` plus `aim_s_per_1k_tokens` for each 1000 tokens of the prompt. Repeats
+    of a keyed request are dropped for `dedup_window_s`.
+    """
 
     name: str
     aim_s: float
@@ -80,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its share of the traffic."""
+    """A tenant, its request quota and its share of the traffic."""
 
     name: str
     quota_per_s: float
@@ -89,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings allow a gateway to do."""
+    """The actions that the settings allow, and their bounds."""
 
     max_attempts: int = 1
     cancel: bool = False
@@ -105,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of the result that a unit of each costs, as fractions of the whole."""
+    """The cost of a unit of each, as a fraction of the whole result."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -119,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """The figures of the four rules."""
+    """The figures of the four rules that every gateway keeps."""
 
     drain_grace_s: float
     cold_share: float
@@ -132,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a gateway is told about its deployment at its start."""
+    """Everything that a gateway knows about its deployment at its start."""
 
     zone: str
     zones: tuple[str, ...]
@@ -160,12 +165,12 @@
 
 
 class ListKind(Enum):
-    """How a list relates to what is known."""
+    """How a list of replicas relates to the gateway's present one."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    LOST = "lost"
+    DELTA = "delta"  # only the entries that changed
+    FULL = "full"  # replaces the present list
+    CACHED = "cached"  # replaces it as well, from a copy that may be old
+    LOST = "lost"  # the subscription to changes is lost; there are no entries
 
 
 class Status(Enum):
@@ -173,10 +178,10 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the server rejected it for overload, before it ran
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    NO_LISTENER = "no_listener"  # the connection was refused: no process listens there now
+    NO_LISTENER = "no_listener"  # the connection was refused: no process listens at the address
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
@@ -184,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEntry:
-    """One replica as the list describes it."""
+    """One replica as the list describes it; `started_at` of 0 or less means long ago."""
 
     replica: int
     zone: str
@@ -206,7 +211,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request has arrived."""
+    """A client's request has arrived.
+
+    `shared_prefix` names the beginning of the prompt that the request shares with others, and
+    `prefix_tokens` is its length.
+    """
 
     request: str
     request_class: str
@@ -234,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended."""
+    """An attempt has ended; if `final` is set, the request has ended with it."""
 
     request: str
     attempt: int
@@ -248,7 +257,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client of a request has left."""
+    """The client of a request has disconnected or cancelled it."""
 
     request: str
 
@@ -273,21 +282,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set has run out."""
+    """A timer that a `SetTimer` action set has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutElsewhere:
-    """Attempts that another process of this gateway has out, by replica."""
+    """The peer process has sent its numbers of open attempts, by replica."""
 
     counts: dict[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """The snapshot of another process of this gateway."""
+    """The peer process has sent a snapshot of its gateway."""
 
     snapshot: dict[str, Any]
 
@@ -308,7 +317,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Begin an attempt."""
+    """Start an attempt of a request at a replica."""
 
     request: str
     replica: int
@@ -317,7 +326,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
@@ -325,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseRequest:
-    """Refuse a request; trying again is harmless."""
+    """Refuse a request; the client may send it again without harm."""
 
     request: str
     retry_after_s: float = 0.0
@@ -333,14 +342,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Fail a request."""
+    """Fail a request that may have run and must not be repeated."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` event."""
+    """Set a timer that results in a `TimerFired` event."""
 
     delay_s: float
     token: str
@@ -348,14 +357,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a replica for its health and load."""
+    """Probe a replica for its health and load."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send a message to other gateways."""
+    """Send a message to one other gateway, or to all."""
 
     payload: bytes
     peer: int | None = field(default=None)
@@ -363,7 +372,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Subscribe to discovery's changes of the list."""
 
 
 Action = (
--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -200,7 +200,7 @@
         """Return a prefix's homes; of many, the sample that contains the home of the request's session."""
         if home_count > MAX_RANKED_HOMES:
             rounds = sampled_rounds(request.session_key, home_count, SAMPLED_HOMES)
-            return dict.fromkeys(self.cached_draw(bucket, request.prefix_key, number) for number in rounds)
+            return dict.fromkeys(self.cached_draw(bucket, request.prefix_key, r) for r in rounds)
         homes: dict[Replica, None] = {}
         for round_number in range(home_count + MAX_FURTHER_DRAWS):  # some rounds draw the same home again
             if len(homes) == home_count:
@@ -380,8 +380,8 @@
         """
         warm_share, max_multiple = self.capacity_share(replica), self.settings.guarantees.overload_multiple
         is_spared = request.attempts or rank + 1.5 > max(max_multiple, 1.5)
-        # A gateway with few requests so far counts too few homes for a heavy prefix, and each home would bring
-        # its share.
+        # A gateway with few requests so far counts too few homes for a heavy prefix, and each of them would
+        # bring its share.
         accepted_share = warm_share / max(
             HOMES_MULTIPLE * request.traffic_share * len(self.local_zone) / request.home_count, 1.0
         )
@@ -462,8 +462,8 @@
         if not self.report_value_sums:
             self.report_value_sums, self.first_token_sums_s = [1e-9] * len(values), [0.0] * len(values)
         estimates_s = [
-            value * first_token_sum_s / value_sum
-            for value, value_sum, first_token_sum_s in zip(
+            reported * first_token_sum_s / value_sum
+            for reported, value_sum, first_token_sum_s in zip(
                 values, self.report_value_sums, self.first_token_sums_s, strict=True
             )
         ]
@@ -583,7 +583,7 @@
         return True
 
     def hold_for_probe(self, request: Request, replica: Replica) -> bool:
-        """Hold a request until a probe returns the replica's load; return False if it cannot or need not wait."""
+        """Hold a request until a probe of the replica ends; return False if it cannot or need not wait."""
         is_load_fresh = self.now - replica.load_reported_at < 0.1
         if request.probe_wait_until <= self.now or is_load_fresh or replica in request.probed_replicas:
             return False
@@ -867,7 +867,7 @@
         return {
             "of": self.snapshot_scope(),
             "replicas": replicas,
-            **{key: getattr(self, name) for key, name in SNAPSHOT_ATTRIBUTES.items()},
+            **{key: getattr(self, attribute) for key, attribute in SNAPSHOT_ATTRIBUTES.items()},
         }
 
     def snapshot_scope(self) -> list[list[str]]:
@@ -879,9 +879,9 @@
         """Adopt the peer process's snapshot; leave out replicas that are not listed or have restarted."""
         if snapshot.get("of") != self.snapshot_scope():
             return
-        for key, name in SNAPSHOT_ATTRIBUTES.items():
-            own, received = getattr(self, name), snapshot[key]
-            setattr(self, name, own | received if isinstance(own, dict) else received)
+        for key, attribute in SNAPSHOT_ATTRIBUTES.items():
+            own, received = getattr(self, attribute), snapshot[key]
+            setattr(self, attribute, own | received if isinstance(own, dict) else received)
         for number, (started_at, *values) in snapshot["replicas"].items():
             replica = self.replicas.get(int(number))
             if replica is not None and replica.entry.started_at == started_at:
--- a/sorreldock/wirehost.py
+++ b/sorreldock/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts many gateways on standard input and output, each knowing only its own events."""
+"""A host for many gateways on standard input and output, each of which gets only its own events."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Host:
-    """Runs gateways behind the simulator's wire."""
+    """The gateways behind the simulator's wire, by name."""
 
     def __init__(self) -> None:
         self.gateways: dict[str, Gateway] = {}
         self.clock = 0.0
 
-    def flush(self, name: str, pending: dict[str, list[Event]]) -> list[str]:
-        """Hand an instance the events that it has been given so far in this batch."""
+    def deliver_pending(self, name: str, pending: dict[str, list[Event]]) -> list[str]:
+        """Pass a gateway its pending events of this batch, and return the encoded replies."""
         events = pending.pop(name, [])
         if not events:
             return []
@@ -27,38 +27,39 @@
             raise wire.WireError(f"event for {name}, which has not been started")
         try:
             actions = self.gateways[name].handle(self.clock, events)
-        except Exception as error:  # the wire asks that a fault of the decisions be told, not hidden
+        except Exception as error:  # the wire requires a report of exceptions in the decisions
             return [wire.encode_crash(name, error)]
         return [wire.encode_action(name, action) for action in actions]
 
-    def batch(self, lines: Iterator[str]) -> list[str]:
-        """The replies to one batch, whose first line has been read."""
+    def answer_batch(self, lines: Iterator[str]) -> list[str]:
+        """Return the replies to one batch, whose first line has been read."""
         replies: list[str] = []
         pending: dict[str, list[Event]] = {}
         for line in lines:
             if line == "commit":
                 for name in list(pending):
-                    replies += self.flush(name, pending)
+                    replies += self.deliver_pending(name, pending)
                 return replies
             kind, fields = wire.split_line(line)
             name = fields.get("gateway", "")
             if not name:
                 raise wire.WireError("field gateway is missing")
             if kind == "boot":
-                replies += self.flush(name, pending)
+                replies += self.deliver_pending(name, pending)
                 settings, seed = wire.decode_boot(fields)
                 self.gateways[name] = Gateway(settings, seed)
             elif kind == "shutdown":
                 pending.pop(name, None)
                 self.gateways.pop(name, None)
             elif kind == "registry":
-                pending.setdefault(name, []).append(self.list_event(fields, lines))
+                pending.setdefault(name, []).append(self.read_list(fields, lines))
             else:
                 pending.setdefault(name, []).append(wire.decode_event(kind, fields))
         raise wire.WireError("input ends within a batch")
 
     @staticmethod
-    def list_event(fields: wire.Fields, lines: Iterator[str]) -> ReplicaList:
+    def read_list(fields: wire.Fields, lines: Iterator[str]) -> ReplicaList:
+        """Decode a list of replicas; its entries are the lines that follow."""
         kind, version, count = wire.decode_list_head(fields)
         if kind is ListKind.LOST:
             count = 0
@@ -69,12 +70,13 @@
                 raise wire.WireError("input ends within a list")
             name, entry = wire.split_line(line)
             if name != "item":
-                raise wire.WireError(f"{count - len(entries)} more entries of the list were expected")
+                raise wire.WireError(f"{count - len(entries)} entries of the list are missing")
             entries.append(wire.decode_entry(entry))
         return ReplicaList(kind, tuple(entries), version)
 
 
-def run(source: TextIO, sink: TextIO, complain: TextIO) -> int:
+def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answer batches until the input ends; return the process's exit status."""
     host = Host()
     line = ""
 
@@ -90,14 +92,14 @@
         for opening in lines:
             name, fields = wire.split_line(opening)
             if name != "turn":
-                raise wire.WireError(f"a batch opens with turn, not with {name!r}")
+                raise wire.WireError(f"a batch must begin with turn, not with {name!r}")
             host.clock = wire.decode_clock(fields)
-            replies = host.batch(lines)
+            replies = host.answer_batch(lines)
             replies.append("eor\n")
             sink.write("\n".join(replies))
             sink.flush()
     except (wire.WireError, SettingsError, UnicodeDecodeError) as error:
-        complain.write(f"sorreldock: {error}; the line was: {line[:400]}\n")
+        errors.write(f"sorreldock: {error}; the line was: {line[:400]}\n")
         return 1
     return 0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -235,5 +235,5 @@
 
     monkeypatch.setattr(wirehost.Gateway, "handle", broken)
     host = wirehost.Host()
-    replies = host.batch(iter((boot() + "commit").split("\n")))
+    replies = host.answer_batch(iter((boot() + "commit").split("\n")))
     assert replies == ["crash\tgateway=gateway-0\tnote_text=IndexError: index out of range"]
