--- a/sorreldock/wire.py
+++ b/sorreldock/wire.py
@@ -349,10 +349,11 @@
 
 
 def _request_class(raw: _SettingsObject, aims_us: list[object], index: int) -> RequestClass:
-    aim_us_per_1k = aims_us[index] if index < len(aims_us) else 0.0
-    if not isinstance(aim_us_per_1k, int | float) or not 0 <= aim_us_per_1k < math.inf:
+    aim_us = aims_us[index] if index < len(aims_us) else 0.0
+    if not isinstance(aim_us, int | float) or not 0 <= aim_us < math.inf:
         raise SettingsError(
-            f"setting family_info.aim_us_per_1000_prompt_tokens[{index}] is not a number in its range: {aim_us_per_1k!r}"
+            f"setting family_info.aim_us_per_1000_prompt_tokens[{index}] is not a number in its range:"
+            f" {aim_us!r}"
         )
     effect = raw.choice("effect", _by_value(Effect), "safe")
     return RequestClass(
@@ -365,7 +366,7 @@
         worth=raw.number("points", 1.0),
         late_worth=raw.number("late_share", 0.0),
         streamed=raw.flag("stream"),
-        aim_s_per_1k_tokens=float(aim_us_per_1k) / 1e6,
+        aim_s_per_1k_tokens=float(aim_us) / 1e6,
         aim_stretch=raw.number("aim_stretch", 0.0),
     )
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
     return dataclasses.replace(base, **changes)  # type: ignore[arg-type]
 
 
-def entry(
+def replica_entry(
     replica: int,
     zone: str = "a",
     cell: int = 0,
@@ -70,21 +70,21 @@
     return ReplicaEntry(replica, zone, cell, weight, state, started_at)
 
 
-def listing(*entries: ReplicaEntry, kind: ListKind = ListKind.CACHED) -> ReplicaList:
+def replica_list(*entries: ReplicaEntry, kind: ListKind = ListKind.CACHED) -> ReplicaList:
     return ReplicaList(kind, entries, 1)
 
 
 def fleet(n: int = 4, zone: str = "a") -> list[ReplicaEntry]:
-    return [entry(k + 1, zone, cell=k // 2) for k in range(n)]
+    return [replica_entry(i + 1, zone, cell=i // 2) for i in range(n)]
 
 
-def gateway(entries: Iterable[ReplicaEntry] | None = None, seed: int = 1, **changes: object) -> Gateway:
-    made = Gateway(settings(**changes), seed)
-    made.handle(START, [listing(*(fleet() if entries is None else entries))])
-    return made
+def make_gateway(entries: Iterable[ReplicaEntry] | None = None, seed: int = 1, **changes: object) -> Gateway:
+    gateway = Gateway(settings(**changes), seed)
+    gateway.handle(START, [replica_list(*(fleet() if entries is None else entries))])
+    return gateway
 
 
-def call(
+def arrival(
     name: str,
     session: str = "",
     prefix: str = "",
@@ -104,16 +104,20 @@
     )
 
 
-def sends(actions: Iterable[Action]) -> list[StartAttempt]:
+def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def homes(gw: Gateway, keys: Iterable[str], now: float = START, prefix: bool = False) -> dict[str, int]:
+def chosen_replicas(
+    gateway: Gateway, keys: Iterable[str], now: float = START, prefix: bool = False
+) -> dict[str, int]:
     """Where each key is sent to, asked by one request each, of which none is out with another."""
     found = {}
     for key in keys:
-        request = call(f"q-{key}-{now}", session=key, prefix=key if prefix else "", now=now)
-        for action in sends(gw.handle(now, [request])):
+        request = arrival(f"q-{key}-{now}", session=key, prefix=key if prefix else "", now=now)
+        for action in started_attempts(gateway.handle(now, [request])):
             found[key] = action.replica
-            gw.handle(now, [AttemptEnded(action.request, 0, action.replica, Status.CANCELLED, 0.0, True)])
+            gateway.handle(
+                now, [AttemptEnded(action.request, 0, action.replica, Status.CANCELLED, 0.0, True)]
+            )
     return found
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from helpers import GUARANTEES, START, call, entry, gateway, sends
+from helpers import GUARANTEES, START, arrival, make_gateway, replica_entry, started_attempts
 
 from sorreldock.hashing import hash_text, mix
 from sorreldock.interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
@@ -23,10 +23,10 @@
 
 
 def group(replicas: list[Replica]) -> ReplicaGroup:
-    made = ReplicaGroup(GUARANTEES.cold_share, GUARANTEES.warm_up_s)
+    replica_group = ReplicaGroup(GUARANTEES.cold_share, GUARANTEES.warm_up_s)
     for member in replicas:
-        made.add(member)
-    return made
+        replica_group.add(member)
+    return replica_group
 
 
 def winners(drawn_from: ReplicaGroup) -> list[Replica]:
@@ -159,21 +159,23 @@
 
 
 def test_no_request_looks_at_all_of_a_large_fleet() -> None:
-    made: Gateway = gateway([entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
-    made.handle(START + 1.0, [call("first", prefix="p0", now=START + 1.0)])  # builds the tables
-    for members in (made.local_zone, made.other_zones, made.all_zones):
+    gateway: Gateway = make_gateway(
+        [replica_entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)]
+    )
+    gateway.handle(START + 1.0, [arrival("first", prefix="p0", now=START + 1.0)])  # builds the tables
+    for members in (gateway.local_zone, gateway.other_zones, gateway.all_zones):
         members._members = Counted(members._members)
     Counted.looks = 0
     for number in range(50):
         now = START + 2.0 + number
-        made.handle(now, [call(f"r{number}", prefix=f"p{number % 3}", now=now)])
+        gateway.handle(now, [arrival(f"r{number}", prefix=f"p{number % 3}", now=now)])
         one = ReplicaEntry(hash_text(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
-        made.handle(now, [ReplicaList(ListKind.DELTA, (one,), number)])
+        gateway.handle(now, [ReplicaList(ListKind.DELTA, (one,), number)])
     assert Counted.looks == 0
 
 
 def test_a_fleet_of_thousands_that_is_all_cold_is_still_decided_on() -> None:
-    fresh = [entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
-    made = gateway(fresh)
-    actions = [made.handle(START + n * 0.01, [call(f"r{n}", now=START)]) for n in range(60)]
-    assert any(sends(action) for action in actions)
+    fresh = [replica_entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
+    gateway = make_gateway(fresh)
+    actions = [gateway.handle(START + n * 0.01, [arrival(f"r{n}", now=START)]) for n in range(60)]
+    assert any(started_attempts(action) for action in actions)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -159,7 +159,7 @@
 
 def boot(name: str = "gateway-0") -> str:
     items = "".join(
-        f"item\thall=north\tunits=1\tstatus=SERVING\treplica={k}\tbay=0\tsku=card\n" for k in range(1, 6)
+        f"item\thall=north\tunits=1\tstatus=SERVING\treplica={i}\tbay=0\tsku=card\n" for i in range(1, 6)
     )
     return (
         f"boot\tgateway={name}\tnonce64=7\tparams={json.dumps(PARAMS)}\n"
@@ -194,7 +194,7 @@
 
 def test_identical_events_give_identical_actions_whatever_the_hash_seed_and_split() -> None:
     names = ["gateway-0", "gateway-1"]
-    calls = {n: "".join(arrival(f"rq_{n[-1]}{k}", n) for k in range(30)) for n in names}
+    calls = {n: "".join(arrival(f"rq_{n[-1]}{i}", n) for i in range(30)) for n in names}
     together = BATCH.format("".join(boot(n) + calls[n] for n in names))
     one, two = adapter(together, "1"), adapter(together, "2")
     assert one.stdout == two.stdout and one.stdout.count("place") == 60
