--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and events for the tests, and a stand-in for the world that answers a gateway's actions."""
+"""Settings, events and gateways for the tests of the decisions."""
 
 from __future__ import annotations
 
@@ -111,13 +111,13 @@
 def chosen_replicas(
     gateway: Gateway, keys: Iterable[str], now: float = START, prefix: bool = False
 ) -> dict[str, int]:
-    """Where each key is sent to, asked by one request each, of which none is out with another."""
-    found = {}
+    """Return the replica that each key is sent to, by one request each, with no two open at a time."""
+    chosen = {}
     for key in keys:
         request = arrival(f"q-{key}-{now}", session=key, prefix=key if prefix else "", now=now)
         for action in started_attempts(gateway.handle(now, [request])):
-            found[key] = action.replica
+            chosen[key] = action.replica
             gateway.handle(
                 now, [AttemptEnded(action.request, 0, action.replica, Status.CANCELLED, 0.0, True)]
             )
-    return found
+    return chosen
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The parts of the decision module for large fleets: the draw over slots, and sums that are kept."""
+"""Tests of the decision module's parts for large fleets: the slot table and the incremental sums."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     return [drawn_from.draw(key, 0) for key in KEYS]
 
 
-def test_a_small_fleet_draws_straws_as_before() -> None:
+def test_a_small_fleet_draws_straws() -> None:
     members = [replica(number) for number in range(MAX_STRAW_REPLICAS)]
     small = group(members)
     for key in KEYS[:200]:
         assert small.draw(key, 0) is longest_straw(members, mix(key))
 
 
-def test_a_large_fleet_shares_keys_by_weight_whatever_order_its_list_had() -> None:
+def test_a_large_fleet_shares_keys_by_weight_for_any_order_of_its_list() -> None:
     members = [replica(number, weight=1.0 + number % 2) for number in range(1000)]
     large = group(members)
     drawn = Counter(member.weight for member in winners(large))
@@ -48,7 +48,7 @@
     random.Random(1).shuffle(members)
     other = group([replica(number + 2000, weight=9.0) for number in range(20)])
     other.draw(KEYS[0], 0)
-    for heavy in list(other):  # what was there before leaves no trace
+    for heavy in list(other):  # former members must not affect the draw
         other.discard(heavy)
     for member in members:
         other.add(member)
@@ -71,7 +71,7 @@
             member.weight = 2.0
     moved = sum(a is not b for a, b in zip(before, winners(fleet), strict=True))
     ideal = {"goes": 50 / 1000, "comes": 50 / 1050, "gains weight": 50 / 1050}[change] * len(KEYS)
-    if change == "gains weight":  # the largest weight has doubled: chances are taken anew, which is rare
+    if change == "gains weight":  # the largest weight has doubled: all chances are recomputed, which is rare
         for member in members[50:60]:
             member.weight = 2.0
         again = winners(fleet)
@@ -90,7 +90,7 @@
     assert moved < (8 / MAX_STRAW_REPLICAS * 2 + 0.02) * len(KEYS)
 
 
-def test_weights_without_measure_neither_stop_the_draw_nor_the_sums() -> None:
+def test_extreme_weights_break_neither_the_draw_nor_the_sums() -> None:
     fleet = group([replica(number, weight=1e300 if number == 7 else 0.0) for number in range(600)])
     assert fleet.draw(KEYS[0], 0) is fleet.draw(KEYS[0], 0)
     assert fleet.capacity(START) > 0.0
@@ -101,36 +101,34 @@
     assert all(len(sampled_rounds(key, 100, 8)) == 8 for key in KEYS[:500]) and sum(kept) / 500 > 7.7
 
 
-def added_up(members: list[Replica], now: float) -> float:
+def recomputed_capacity(members: list[Replica], now: float) -> float:
     total = 0.0
     for member in members:
         age = now - member.started_at
-        warm = member.started_at <= 0.0 or age >= GUARANTEES.warm_up_s
+        is_warm = member.started_at <= 0.0 or age >= GUARANTEES.warm_up_s
         share = GUARANTEES.cold_share
-        warmth = 1.0 if warm else share + (1.0 - share) * max(age, 0.0) / GUARANTEES.warm_up_s
-        total += 0.0 if member.ejected_until > now else member.weight * warmth
+        capacity_share = 1.0 if is_warm else share + (1.0 - share) * max(age, 0.0) / GUARANTEES.warm_up_s
+        total += 0.0 if member.ejected_until > now else member.weight * capacity_share
     return total
 
 
-def test_sums_that_are_kept_are_those_added_up_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incremental_sums_equal_recomputed_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     from sorreldock.policy import capacity
 
     monkeypatch.setattr(capacity, "MAX_CHANGES_BEFORE_REBUILD", 500)
-    draw, now = random.Random(3), START
-    members = [
-        replica(n, draw.uniform(0.5, 2.0), draw.choice((0.0, now - 5.0, now + 3.0))) for n in range(200)
-    ]
+    rng, now = random.Random(3), START
+    members = [replica(n, rng.uniform(0.5, 2.0), rng.choice((0.0, now - 5.0, now + 3.0))) for n in range(200)]
     fleet = group(members)
     for _ in range(2000):
-        now += draw.expovariate(20.0)
-        member = draw.choice(members)
-        match draw.randrange(6):
+        now += rng.expovariate(20.0)
+        member = rng.choice(members)
+        match rng.randrange(6):
             case 0:
-                member.ejected_until = now + draw.uniform(0.1, 8.0)
+                member.ejected_until = now + rng.uniform(0.1, 8.0)
             case 1:
                 member.no_listener_at = now
             case 2:
-                member.weight = draw.uniform(0.1, 3.0)
+                member.weight = rng.uniform(0.1, 3.0)
             case 3:
                 member.open_attempts += 1
             case 4:
@@ -140,42 +138,44 @@
             case _:
                 if member not in fleet:
                     fleet.add(member)
-        here = [member for member in members if member in fleet]
-        assert fleet.capacity(now) == pytest.approx(added_up(here, now), rel=1e-6, abs=1e-6)
-        assert fleet.ejected_count(now) == sum(member.ejected_until > now for member in here)
-        assert fleet.open_attempts == sum(member.open_attempts for member in here)
-        assert fleet.mean_weight == pytest.approx(sum(member.weight for member in here) / max(len(here), 1))
+        present = [member for member in members if member in fleet]
+        assert fleet.capacity(now) == pytest.approx(recomputed_capacity(present, now), rel=1e-6, abs=1e-6)
+        assert fleet.ejected_count(now) == sum(member.ejected_until > now for member in present)
+        assert fleet.open_attempts == sum(member.open_attempts for member in present)
+        assert fleet.mean_weight == pytest.approx(
+            sum(member.weight for member in present) / max(len(present), 1)
+        )
 
 
-class Counted(list):  # type: ignore[type-arg]
-    """A list of members that counts how many of them are looked at."""
+class IterationCounter(list):  # type: ignore[type-arg]
+    """A list that counts how many of its members are iterated over."""
 
-    looks = 0
+    iterations = 0
 
     def __iter__(self):  # type: ignore[no-untyped-def]
         for member in super().__iter__():
-            Counted.looks += 1
+            IterationCounter.iterations += 1
             yield member
 
 
-def test_no_request_looks_at_all_of_a_large_fleet() -> None:
+def test_no_request_or_update_iterates_over_a_large_fleet() -> None:
     gateway: Gateway = make_gateway(
         [replica_entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)]
     )
     gateway.handle(START + 1.0, [arrival("first", prefix="p0", now=START + 1.0)])  # builds the tables
     for members in (gateway.local_zone, gateway.other_zones, gateway.all_zones):
-        members._members = Counted(members._members)
-    Counted.looks = 0
+        members._members = IterationCounter(members._members)
+    IterationCounter.iterations = 0
     for number in range(50):
         now = START + 2.0 + number
         gateway.handle(now, [arrival(f"r{number}", prefix=f"p{number % 3}", now=now)])
-        one = ReplicaEntry(hash_text(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
-        gateway.handle(now, [ReplicaList(ListKind.DELTA, (one,), number)])
-    assert Counted.looks == 0
+        draining = ReplicaEntry(hash_text(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
+        gateway.handle(now, [ReplicaList(ListKind.DELTA, (draining,), number)])
+    assert IterationCounter.iterations == 0
 
 
-def test_a_fleet_of_thousands_that_is_all_cold_is_still_decided_on() -> None:
-    fresh = [replica_entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
-    gateway = make_gateway(fresh)
+def test_requests_are_placed_in_a_fleet_of_thousands_that_is_all_cold() -> None:
+    cold = [replica_entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
+    gateway = make_gateway(cold)
     actions = [gateway.handle(START + n * 0.01, [arrival(f"r{n}", now=START)]) for n in range(60)]
     assert any(started_attempts(action) for action in actions)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, and the adapter as a subprocess: batches in, replies out, plain messages on bad input."""
+"""Tests of the wire's codec and of the simulator adapter as a subprocess, with valid and invalid input."""
 
 from __future__ import annotations
 
@@ -59,31 +59,36 @@
 
 def with_change(path: str, value: object) -> dict[str, Any]:
     params = copy.deepcopy(PARAMS)
-    *way, last = path.split(".")
-    at: Any = params
-    for part in way:
-        at = at[int(part)] if part.isdigit() else at[part]
+    *parents, last = path.split(".")
+    container: Any = params
+    for part in parents:
+        container = container[int(part)] if part.isdigit() else container[part]
     if value is None:
-        del at[last]
+        del container[last]
     else:
-        at[last] = value
+        container[last] = value
     return params
 
 
-def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    s = wire.decode_settings({**PARAMS, "novelty": {"x": 1}})
-    assert (s.zone, s.gateways, s.limits.max_attempts, s.prices.waste) == ("north", 2, 3, 0.1)
-    assert s.classes[0].aim_s_per_1k_tokens == pytest.approx(0.03)
-    assert s.metrics == (Metric.QUEUE_LENGTH, Metric.LATENCY_MS, Metric.MEMORY_SHARE)
-    assert s.reports_via is ReportVia.PROBE and s.weights is WeightKind.NOMINAL
-    assert s.guarantees.warm_up_s == 23.0 and s.limits.resume_streams
+def test_settings_are_decoded_and_unknown_keys_ignored() -> None:
+    settings = wire.decode_settings({**PARAMS, "novelty": {"x": 1}})
+    assert (settings.zone, settings.gateways, settings.limits.max_attempts, settings.prices.waste) == (
+        "north",
+        2,
+        3,
+        0.1,
+    )
+    assert settings.classes[0].aim_s_per_1k_tokens == pytest.approx(0.03)
+    assert settings.metrics == (Metric.QUEUE_LENGTH, Metric.LATENCY_MS, Metric.MEMORY_SHARE)
+    assert settings.reports_via is ReportVia.PROBE and settings.weights is WeightKind.NOMINAL
+    assert settings.guarantees.warm_up_s == 23.0 and settings.limits.resume_streams
 
 
 @pytest.mark.parametrize("areas", [[], None])
 def test_a_deployment_may_have_no_zones(areas: object) -> None:
     for zone in ("", None):
-        s = wire.decode_settings(with_change("areas", areas) | {"zone": zone})
-        assert (s.zones, s.zone) == (("",), "")
+        settings = wire.decode_settings(with_change("areas", areas) | {"zone": zone})
+        assert (settings.zones, settings.zone) == (("",), "")
     with pytest.raises(SettingsError, match="zone"):
         wire.decode_settings(with_change("areas", areas) | {"zone": 7})
 
@@ -106,12 +111,12 @@
         ("discovery", "guess", "discovery"),
     ],
 )
-def test_a_bad_setting_is_named(path: str, value: object, named: str) -> None:
+def test_the_error_names_the_invalid_setting(path: str, value: object, named: str) -> None:
     with pytest.raises(SettingsError, match=named.replace("[", r"\[").replace("]", r"\]")):
         wire.decode_settings(with_change(path, value))
 
 
-def test_events_are_read() -> None:
+def test_events_are_decoded() -> None:
     name, fields = wire.split_line(
         "checked\tgateway=gateway-3\treplica=7\toutcome=success\ttook_s=0.0014\thealth_info=3,14.5,0.4"
     )
@@ -142,7 +147,7 @@
         (Subscribe(), "stream_changes\tgateway=g\tenable=1"),
     ],
 )
-def test_actions_are_written(action: Any, line: str) -> None:
+def test_actions_are_encoded(action: Any, line: str) -> None:
     assert wire.encode_action("g", action) == line
 
 
@@ -176,7 +181,7 @@
 BATCH = "turn\tts_s=10.0\n{}commit\n\n"
 
 
-def test_a_day_is_answered_and_ends_cleanly() -> None:
+def test_batches_are_answered_and_the_process_ends_without_errors() -> None:
     done = adapter("turn\tts_s=9\ncommit\n\n" + BATCH.format(boot() + arrival("rq_a")))
     assert done.returncode == 0 and done.stderr == ""
     empty, reply, rest = done.stdout.split("eor\n")
@@ -184,7 +189,7 @@
     assert reply.splitlines()[0].startswith("place\tgateway=gateway-0\tref=rq_a\treplica=")
 
 
-def test_a_restart_in_one_batch_starts_afresh_with_the_copy() -> None:
+def test_a_gateway_restarted_within_a_batch_starts_with_the_cached_list() -> None:
     text = BATCH.format(boot() + arrival("rq_a")) + BATCH.format(
         "shutdown\tgateway=gateway-0\n" + boot() + arrival("rq_b")
     )
@@ -192,7 +197,7 @@
     assert done.returncode == 0 and "ref=rq_b" in done.stdout.split("eor\n")[1]
 
 
-def test_identical_events_give_identical_actions_whatever_the_hash_seed_and_split() -> None:
+def test_identical_events_give_identical_actions_for_any_hash_seed_and_split_into_processes() -> None:
     names = ["gateway-0", "gateway-1"]
     calls = {n: "".join(arrival(f"rq_{n[-1]}{i}", n) for i in range(30)) for n in names}
     together = BATCH.format("".join(boot(n) + calls[n] for n in names))
@@ -205,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "named"),
     [
         (BATCH.format(boot() + "surprise\tgateway=gateway-0\n"), "surprise"),
         (BATCH.format(boot() + "wake\tgateway=gateway-0\n"), "cookie"),
@@ -220,20 +225,20 @@
         ("commit\n", "turn"),
     ],
 )
-def test_bad_input_ends_with_a_message_and_nothing_invented(text: str, told: str) -> None:
+def test_invalid_input_ends_the_process_with_a_message_and_no_reply(text: str, named: str) -> None:
     done = adapter("turn\tts_s=9\ncommit\n\n" + text)
     assert done.returncode != 0
     assert done.stdout == "eor\n"
-    assert told in done.stderr and "Traceback" not in done.stderr
+    assert named in done.stderr and "Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_rules_is_told_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_decisions_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     from sorreldock import wirehost
 
-    def broken(*_: object) -> None:
+    def failing_handle(*_: object) -> None:
         raise IndexError("index out of\nrange")
 
-    monkeypatch.setattr(wirehost.Gateway, "handle", broken)
+    monkeypatch.setattr(wirehost.Gateway, "handle", failing_handle)
     host = wirehost.Host()
     replies = host.answer_batch(iter((boot() + "commit").split("\n")))
     assert replies == ["crash\tgateway=gateway-0\tnote_text=IndexError: index out of range"]
