--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -91,7 +91,7 @@
             scenario.sockets,
             settings,
             decode_result(known, ListKind.CACHED),
-            Operator(kserve=kserve, engine_protocols=("http", "kserve")),
+            Operator(kserve=kserve, server_protocols=("http", "kserve")),
             scenario.memory_mb,
         )
 
@@ -125,7 +125,7 @@
         return self.name, self.world.judge.lives.get(self.name, 0)
 
     def stop(self) -> None:
-        self.world.judge.stop_asked.setdefault(self.life(), trio.current_time())
+        self.world.judge.stop_requested.setdefault(self.life(), trio.current_time())
         self.system.deliver(signal.SIGTERM)
 
     def kill(self) -> None:
@@ -317,12 +317,12 @@
                 continue
             core, gateway = program.core, program.core._gateway
             left = {
-                "open RPCs": core.open,
+                "open RPCs": core.open_rpcs,
                 "names": core._names,
                 "requests in the module": gateway.requests,
                 "held in the module": gateway.awaiting_probe,
                 "timers": [what for what in core._timers if what != "ask"],
-                "attempts of engines": [s for s in core.subchannels.values() if s._out],
+                "attempts of engines": [s for s in core.subchannels.values() if s._in_flight],
                 "busy replicas": [r for r in gateway.replicas.values() if r.open_attempts],
             }
             for what, held in left.items():
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -11,17 +11,17 @@
 
 from .. import __version__
 from ..protocol.front import Front
-from ..protocol.http.client import HttpEngineClient
+from ..protocol.http.client import HttpServerClient
 from ..protocol.http.discovery import Resolver
 from ..protocol.http.front import HttpFront
 from ..routing.core import Core
-from ..routing.types import EngineClient, ResolverResult
-from ..transport.budget import Descriptors, Payloads
+from ..routing.types import ResolverResult, ServerClient
+from ..transport.budget import DescriptorBudget, PayloadBudget
 from ..transport.connection import dialler
 from ..transport.listener import Listener
 from ..transport.system import MACHINE, System
 from . import early_reload
-from .calls import Calls
+from .calls import OperatorCommands
 from .config import Config
 from .phases import Lifecycle, Phase
 from .syslog import Syslog
@@ -54,12 +54,12 @@
     return int(min(max(share, LEAST_PAYLOAD_MB), MOST_PAYLOAD_MB) * 1024 * 1024)
 
 
-def largest_list(memory_mb: int) -> int:
+def max_list_bytes(memory_mb: int) -> int:
     """Of its bytes, an entry takes some hundreds; indented, decoded and as subchannels it takes more."""
     return max(memory_mb // LIST_PART, 1) * 1024 * 1024
 
 
-def most_open(memory_mb: int) -> int:
+def max_open_rpcs(memory_mb: int) -> int:
     return max(memory_mb * OPEN_PER_MB, LEAST_OPEN)
 
 
@@ -74,13 +74,13 @@
         self._dial = dialler(system)
         self._read_again = read_again
         operator = config.operator
-        self.syslog = Syslog(config.name, operator.collector, operator.least_severity, system=system)
+        self.syslog = Syslog(config.name, operator.collector, operator.min_severity, system=system)
         self.log = self.syslog.log
         self.lifecycle = Lifecycle(lambda phase: self.log("notice", "PHASE", phase.value))
         self.console: Console | None = None
         self.takeover: Takeover | None = None
-        self.budget = Descriptors(config.sockets)
-        self.payloads = Payloads(payload_bytes(config.memory_mb))
+        self.budget = DescriptorBudget(config.sockets)
+        self.payloads = PayloadBudget(payload_bytes(config.memory_mb))
         self.fronts: dict[str, Front[Any]] = {}
         self.listeners: dict[str, Listener] = {}
         self.addresses: dict[str, str] = {}  # where each front listens, by protocol
@@ -90,12 +90,12 @@
     def ready(self) -> bool:
         return self.lifecycle.takes_work and self.core.can_serve()
 
-    def _connect(self, endpoint: str) -> dict[str, EngineClient]:
+    def _connect(self, endpoint: str) -> dict[str, ServerClient]:
         limits = self.config.settings.limits
-        clients: dict[str, EngineClient] = {}
-        if "http" in self.config.operator.engine_protocols:
+        clients: dict[str, ServerClient] = {}
+        if "http" in self.config.operator.server_protocols:
             probe_path = "/metrics/load" if self.config.settings.metrics else "/alive"
-            clients["http"] = HttpEngineClient(
+            clients["http"] = HttpServerClient(
                 endpoint,
                 self.budget,
                 limits.connect_timeout_s,
@@ -104,11 +104,11 @@
                 self._dial,
                 max(ENGINE_HOLDS // self.config.settings.gateways, LEAST_IDLE),
             )
-        if "kserve" in self.config.operator.engine_protocols:
+        if "kserve" in self.config.operator.server_protocols:
             # Only here: the platform's path has no use for the gRPC code and its memory.
-            from ..protocol.kserve.client import KserveEngineClient
+            from ..protocol.kserve.client import KserveServerClient
 
-            clients["kserve"] = KserveEngineClient(
+            clients["kserve"] = KserveServerClient(
                 endpoint, self.budget, limits.connect_timeout_s, limits.conn_idle_s, self._dial
             )
         return clients
@@ -122,27 +122,27 @@
             self.log,
             self._dial,
             not config.settings.must_ask_for_list,
-            largest_list(config.memory_mb),
+            max_list_bytes(config.memory_mb),
             config.settings.guarantees.list_max_age_s,
             config.seed,
         )
-        probed_with = "http" if "http" in config.operator.engine_protocols else "kserve"
+        probe_protocol = "http" if "http" in config.operator.server_protocols else "kserve"
         self.core = Core(
             config.settings,
             config.seed,
             self._connect,
             self.log,
-            most_open(config.memory_mb),
-            probed_with=probed_with,
+            max_open_rpcs(config.memory_mb),
+            probe_protocol=probe_protocol,
             wall=self.system.wall,
         )
-        self.core.resolved(config.known)
+        self.core.apply_resolver_result(config.known)
         self._open_fronts()
         for protocol, listener in self.listeners.items():
             self.addresses[protocol] = await listener.bind()
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self.calls = Calls(self.lifecycle, self.core, self.fronts, nursery)
+            self.operator_commands = OperatorCommands(self.lifecycle, self.core, self.fronts, nursery)
             if config.console:
                 await self._open_console(nursery)
             nursery.start_soon(self.syslog.run)
@@ -155,17 +155,17 @@
             if not config.settings.must_ask_for_list:
                 # Guards the drain rule: what the agent has counts as told from the first moment on.
                 with trio.move_on_after(LISTED_S):
-                    await self.resolver.listed.wait()
+                    await self.resolver.first_list_received.wait()
             for front in self.fronts.values():
-                nursery.start_soon(front.tell_shed)
+                nursery.start_soon(front.log_evictions)
             for protocol, listener in self.listeners.items():
                 nursery.start_soon(listener.serve, nursery, self.fronts[protocol].handle)
             self.lifecycle.enter(Phase.SERVING)
             self.serving.set()
-            await self.lifecycle.stop_asked.wait()
-            self.calls.stop()
+            await self.lifecycle.stop_requested.wait()
+            self.operator_commands.stop()
             for front in self.fronts.values():
-                front.refuse_from = trio.current_time() + LAST_TAKEN_S
+                front.refuse_requests_from = trio.current_time() + LAST_TAKEN_S
             self.lifecycle.enter(Phase.LINGERING)
             if config.inherited_fd is not None:  # who comes now is for the process that follows
                 self.listeners["http"].close()
@@ -192,10 +192,10 @@
         for listener in self.listeners.values():
             await listener.ended.wait()
         while True:
-            await self.core.drained()
+            await self.core.wait_until_idle()
             for front in self.fronts.values():
-                await front.closed(CONNECTIONS_END_S)
-            if not self.core.open:
+                await front.wait_closed(CONNECTIONS_END_S)
+            if not self.core.open_rpcs:
                 return
 
     def _open_fronts(self) -> None:
@@ -220,8 +220,12 @@
     async def _open_console(self, nursery: trio.Nursery) -> None:
         from . import console  # an installation without one does not load it
 
-        self.budget.set_aside(console.DESCRIPTORS)
-        answers = {"ready": self.calls.ready, "drain": self.calls.drain, "resume": self.calls.resume}
+        self.budget.reserve(console.DESCRIPTORS)
+        answers = {
+            "ready": self.operator_commands.ready,
+            "drain": self.operator_commands.drain,
+            "resume": self.operator_commands.resume,
+        }
         self.console = console.Console(self.config.console, answers, self.system)
         self.addresses["console"] = await self.console.listener.bind()
         nursery.start_soon(self.console.serve, nursery)
@@ -239,15 +243,15 @@
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
     def _resolved(self, result: ResolverResult) -> None:
-        self.core.resolved(result if self.takeover is None else self.takeover.took(result))
+        self.core.apply_resolver_result(result if self.takeover is None else self.takeover.took(result))
 
     def _in_company(self, others: bool) -> None:
         """Memory, like descriptors, is counted for both processes of a router together."""
         memory_mb = self.config.memory_mb
         if others:
             memory_mb = max(memory_mb // 2, PROGRAM_MB)
-        self.payloads.most = payload_bytes(memory_mb)
-        self.core.most_open = most_open(memory_mb)
+        self.payloads.max_used = payload_bytes(memory_mb)
+        self.core.max_open_rpcs = max_open_rpcs(memory_mb)
 
     async def _signals(self) -> None:
         with self.system.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
@@ -257,7 +261,7 @@
                 if number == signal.SIGHUP:
                     self.reload()
                 else:
-                    self.lifecycle.stop_asked.set()
+                    self.lifecycle.stop_requested.set()
 
     def reload(self) -> None:
         """Read the configuration anew. Subchannels and open RPCs stay; so does all, if it can't be used."""
@@ -273,7 +277,7 @@
         self.budget.resize(self.config.sockets)
         self._in_company(self.takeover is not None and self.takeover.in_company)
         if self.config.discovery != old.discovery:
-            self.resolver.move(self.config.discovery)
+            self.resolver.change_address(self.config.discovery)
         self.log(
             "notice",
             "RELOAD",
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -15,28 +15,28 @@
 from ...interface import Metric, Status
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import (
-    LARGEST_ANSWER,
+    MAX_ANSWER_BYTES,
     SERVICE,
     Code,
-    Farewell,
+    Deframer,
+    GoAway,
     GrpcError,
     Headers,
-    Unframer,
     format_timeout,
     frame,
     status_of,
 )
-from ...routing.types import RPC, CallProgress, Report
-from ...transport.budget import Descriptors
+from ...routing.types import RPC, AttemptProgress, AttemptResult
+from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
-from ...transport.pool import Pool
-from .. import engine
-from ..engine import NeverTaken, PooledEngineClient, ProtocolFault
-from ..loads import HEADER, parse_load
+from ...transport.pool import ConnectionPool
+from .. import server_client
+from ..loads import LOAD_REPORT_HEADER, parse_load
+from ..server_client import PooledServerClient, RequestNotProcessed, ServerProtocolError
 from .grpc import H2Wire
 from .metadata import HOP, KservePayload
 
-LOAD = HEADER.lower()
+LOAD = LOAD_REPORT_HEADER.lower()
 # The request is at fault, not the engine: another would say the same, so the client gets this word as it is.
 VERDICTS = (Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.FAILED_PRECONDITION, Code.UNIMPLEMENTED)
 
@@ -47,16 +47,16 @@
     try:
         yield
     except (h2.exceptions.ProtocolError, GrpcError, DecodeError) as error:
-        raise ProtocolFault(str(error)) from None
+        raise ServerProtocolError(str(error)) from None
 
 
 class Exchange:
     """One stream, from its request to its trailers."""
 
-    def __init__(self, line: EngineLine, number: int) -> None:
+    def __init__(self, line: ServerConnection, number: int) -> None:
         self.line = line
         self.number = number
-        self.unframer = Unframer(LARGEST_ANSWER)
+        self.deframer = Deframer(MAX_ANSWER_BYTES)
         self.headers: dict[str, str] = {}
         self.trailers: Headers = []
         self.ended = False
@@ -73,12 +73,12 @@
         with suppress(ConnectionLost):
             await self.line.wire.flush()
 
-    def take(self, event: h2.events.Event | Farewell) -> None:
+    def take(self, event: h2.events.Event | GoAway) -> None:
         match event:
-            case Farewell(last_stream, error):
+            case GoAway(last_stream_id, error):
                 self.line.going = True
-                if last_stream < self.number:
-                    raise NeverTaken("left out by a GOAWAY")
+                if last_stream_id < self.number:
+                    raise RequestNotProcessed("left out by a GOAWAY")
                 if error:
                     raise ConnectionLost(f"GOAWAY with error {error}")
             case _ if getattr(event, "stream_id", None) != self.number:
@@ -89,13 +89,13 @@
             case h2.events.TrailersReceived():
                 self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.DataReceived():
-                self.unframer.feed(event.data or b"")
+                self.deframer.feed(event.data or b"")
                 self.line.wire.consumed(self.number, event.flow_controlled_length or 0)
             case h2.events.StreamEnded():
                 self.ended = True
             case h2.events.StreamReset():
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
-                    raise NeverTaken("REFUSED_STREAM")
+                    raise RequestNotProcessed("REFUSED_STREAM")
                 if not self.ended:
                     raise ConnectionLost(f"stream reset with error {event.error_code}")
 
@@ -117,15 +117,15 @@
         """The answer's next message; None at its end. One that has begun to arrive gives the wait a limit."""
         latest = silence.deadline if silence is not None else math.inf
         while True:
-            message = self.unframer.next()
+            message = self.deframer.next()
             if message is not None:
                 return message
             if self.ended:
-                if self.unframer.partial:
+                if self.deframer.partial:
                     raise ConnectionLost("the last message is cut off")
                 return None
-            if silence is not None and self.unframer.partial:
-                silence.deadline = min(latest, trio.current_time() + engine.OPENING_S)
+            if silence is not None and self.deframer.partial:
+                silence.deadline = min(latest, trio.current_time() + server_client.FIRST_EVENT_TIMEOUT_S)
             await self.step()
 
     def status(self) -> tuple[int, str]:
@@ -136,7 +136,7 @@
         return parse_load(text)
 
 
-class EngineLine:
+class ServerConnection:
     """A connection to an engine, with its HTTP/2 state."""
 
     def __init__(self, connection: Connection) -> None:
@@ -149,7 +149,7 @@
         try:
             while self.connection.readable:
                 events = await self.wire.receive()
-                if events is None or any(isinstance(event, Farewell) for event in events):
+                if events is None or any(isinstance(event, GoAway) for event in events):
                     return False
         except (ConnectionLost, h2.exceptions.ProtocolError):
             return False
@@ -174,42 +174,49 @@
         return Exchange(self, number)
 
 
-class KserveEngineClient(PooledEngineClient[EngineLine, Exchange]):
+class KserveServerClient(PooledServerClient[ServerConnection, Exchange]):
     """Call attempts and probes at one engine over gRPC."""
 
     def __init__(
         self,
         address: str,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         dial: Dial = dial,
     ) -> None:
-        super().__init__(Pool(address, EngineLine, budget, connect_timeout_s, conn_idle_s, dial))
+        super().__init__(
+            ConnectionPool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial)
+        )
         self._address = address
 
-    async def send(self, line: EngineLine, rpc: RPC, progress: CallProgress) -> Exchange:
+    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with faults():
-            exchange = line.open(payload.method, self._address, progress.wait_s(), payload.metadata)
+            exchange = line.open(
+                payload.method, self._address, progress.first_event_timeout_s(), payload.metadata
+            )
             await exchange.send(frame(payload.message))
         return exchange
 
-    async def answer(self, exchange: Exchange, progress: CallProgress) -> Report:
+    async def answer(self, exchange: Exchange, progress: AttemptProgress) -> AttemptResult:
         started = False
         while True:
-            with trio.move_on_after(engine.SILENCE_S if started else math.inf) as silence, faults():
+            with (
+                trio.move_on_after(server_client.EVENT_GAP_TIMEOUT_S if started else math.inf) as silence,
+                faults(),
+            ):
                 message = await exchange.message(silence)
             if silence.cancelled_caught:
                 raise ConnectionLost("silent within a stream")
             if message is None:
                 return self._ending(exchange, started)
             started = True
-            await progress.event(message)
+            await progress.forward_event(message)
 
     @staticmethod
-    def _ending(exchange: Exchange, started: bool) -> Report:
+    def _ending(exchange: Exchange, started: bool) -> AttemptResult:
         code, text = exchange.status()
         load = exchange.load()
         names = dict(exchange.trailers)
@@ -217,19 +224,19 @@
             (k, v) for k, v in exchange.trailers if not HOP.match(k) and k not in (LOAD, "x-never-ran")
         ]
         if code == Code.OK:
-            return Report(Status.OK, load, verdict=GrpcError(Code.OK, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(Code.OK, text, metadata))
         if not started and code in VERDICTS:
-            return Report(Status.OK, load, verdict=GrpcError(code, text, metadata))
+            return AttemptResult(Status.OK, load, server_status=GrpcError(code, text, metadata))
         if not started and names.get("x-never-ran") == "1":
-            return Report(Status.FULL, load, note=f"grpc-status {code}")
-        return Report(Status.ERROR, load, note=f"grpc-status {code}: {text}")
+            return AttemptResult(Status.FULL, load, note=f"grpc-status {code}")
+        return AttemptResult(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
-    async def ask_load(self, line: EngineLine) -> Report:
+    async def ask_load(self, line: ServerConnection) -> AttemptResult:
         with faults():
-            exchange = line.open("ServerReady", self._address, engine.PROBE_S, [])
+            exchange = line.open("ServerReady", self._address, server_client.PROBE_TIMEOUT_S, [])
             await exchange.send(frame(b""))
             message = await exchange.message()
             while await exchange.message() is not None:
                 pass
             ready = pb.ServerReadyResponse.FromString(message or b"").ready
-        return Report(Status.OK if ready else Status.FULL, exchange.load())
+        return AttemptResult(Status.OK if ready else Status.FULL, exchange.load())
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -11,7 +11,7 @@
 import trio
 from hyperframe.frame import GoAwayFrame
 
-from ...kserve.framing import Farewell
+from ...kserve.framing import GoAway
 from ...transport.admission import Stage
 from ...transport.connection import Connection, ConnectionLost
 from .. import front as limits
@@ -29,7 +29,7 @@
 class ClientConnection:
     """The actor of one client connection: the only reader of its wire."""
 
-    held_bytes = 0  # its streams hold their own; a message that has begun counts as taken
+    reserved_bytes = 0  # its streams hold their own; a message that has begun counts as taken
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
@@ -38,7 +38,7 @@
         self.scope = trio.CancelScope()
         self.heard_at = trio.current_time()
         self.idle_since = self.heard_at
-        self.spoken = False
+        self.has_sent_request = False
         self.going = self.gone = self.at_fault = False  # a first GOAWAY was sent; the last one
         self.ending = trio.Event()
 
@@ -52,7 +52,7 @@
     def stage(self) -> Stage:
         if self.streams:
             return Stage.TAKEN
-        return Stage.IDLE if self.spoken else Stage.SILENT
+        return Stage.IDLE if self.has_sent_request else Stage.SILENT
 
     @property
     def owes_answer(self) -> bool:
@@ -66,7 +66,7 @@
     def readable(self) -> bool:
         return self.wire.connection.readable
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         self.close_if_idle()
         self.wire.connection.close()
 
@@ -77,7 +77,7 @@
             self.wire.consumed(stream.number, stream.unread)
         if not self.streams:
             self.idle_since = trio.current_time()
-            self.front.queue.enter(self)
+            self.front.queue.add(self)
         if (self.gone or (self.going and not self.front.accepting)) and not self.streams:
             self.ending.set()
 
@@ -101,7 +101,9 @@
                     with trio.move_on_after(1.0):
                         await self.wire.flushed()  # the farewell, if the client was at fault
                     if self.at_fault:
-                        await self.wire.connection.hang_up(limits.HANG_UP_S, limits.QUIET_S)
+                        await self.wire.connection.lingering_close(
+                            limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S
+                        )
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
             pass  # the client has gone, or is none of ours
@@ -118,15 +120,15 @@
             if events is None:
                 return
             self.heard_at = trio.current_time()
-            if events and not self.spoken:
-                self.spoken, self.idle_since = True, self.heard_at
+            if events and not self.has_sent_request:
+                self.has_sent_request, self.idle_since = True, self.heard_at
             for event in events:
                 self.take(event, nursery)
             if not self.streams:
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
             self.wire.hand_over()
 
-    def take(self, event: h2.events.Event | Farewell, nursery: trio.Nursery) -> None:
+    def take(self, event: h2.events.Event | GoAway, nursery: trio.Nursery) -> None:
         match event:
             case h2.events.RequestReceived():
                 assert event.stream_id is not None and event.headers is not None
@@ -139,7 +141,7 @@
                     return
                 headers = [(str(k), str(v)) for k, v in event.headers]
                 stream = self.streams[event.stream_id] = ClientStream(self, event.stream_id, headers)
-                self.front.queue.leave(self)
+                self.front.queue.remove(self)
                 nursery.start_soon(stream.run)
                 if not self.front.accepting:  # it came while the router was drained: this call and no more
                     self.go_away()
@@ -169,11 +171,11 @@
         that comes to a drained router and brings no call, sooner.
         """
         if not self.front.accepting:
-            await trio.sleep(limits.LATE_S)
+            await trio.sleep(limits.DRAINING_FIRST_BYTE_TIMEOUT_S)
             if not self.streams and not self.front.accepting:
                 self.go_away()
-        await trio.sleep(limits.HEAD_S)
-        if not self.spoken:
+        await trio.sleep(limits.HEAD_TIMEOUT_S)
+        if not self.has_sent_request:
             self.scope.cancel()
 
     async def keep_alive(self) -> None:
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -8,8 +8,8 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import Code, GrpcError
-from ...routing.types import Log, Router
-from ...transport.budget import Descriptors, Payloads
+from ...routing.types import Log, RPCDispatcher
+from ...transport.budget import DescriptorBudget, PayloadBudget
 from ...transport.connection import Connection, ConnectionLost
 from ..front import Front
 from .call import parse
@@ -26,10 +26,10 @@
         self,
         settings: FrontSettings,
         version: str,
-        core: Router,
+        core: RPCDispatcher,
         is_ready: Callable[[], bool],
-        budget: Descriptors,
-        payloads: Payloads,
+        budget: DescriptorBudget,
+        payloads: PayloadBudget,
         log: Log,
     ) -> None:
         super().__init__(core, is_ready, budget, payloads, log)
@@ -37,7 +37,7 @@
         self.version = version
         self.accepting = True
 
-    def attend(self, connection: Connection) -> ClientConnection:
+    def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
     def known_model(self, name: str) -> None:
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -10,10 +10,10 @@
 
 from ..interface import Status
 from .permissions import LONGEST_GRACE_S, Denial, may_write, time_to_finish_writing
-from .types import RPC, Connect, EngineClient, Report, SinkClosed, Target
+from .types import RPC, AttemptResult, ServerClient, ServerClientFactory, SinkClosed, Target
 
 
-class CallAttempt:
+class Attempt:
     """One attempt of an RPC at one engine."""
 
     def __init__(
@@ -22,8 +22,8 @@
         number: int,
         subchannel: Subchannel,
         timeout_s: float,
-        on_first: FirstCallback,
-        wanted: Wanted,
+        on_first: FirstEventCallback,
+        wanted: ClientCheck,
         send_by: float = math.inf,
         on_written: WrittenCallback | None = None,
     ) -> None:
@@ -60,15 +60,15 @@
         self.sending = self.denied is None
         return self.sending
 
-    def sent(self) -> None:
+    def mark_written(self) -> None:
         self.written = True
         if self._on_written is not None:
             self._on_written(self)
 
-    def wait_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         return self._wait_s
 
-    async def event(self, data: bytes) -> None:
+    async def forward_event(self, data: bytes) -> None:
         if not self.started:
             # Too late: the core has given the final answer, or the deadline fired in the moment in which this
             # came. Guards the client: its answer would begin and be cut off by that very deadline.
@@ -77,7 +77,7 @@
             self.started = True
             self.scope.deadline = math.inf  # once an answer has begun, it has no deadline
             self._on_first(self)
-        await self.rpc.sink.event(data)
+        await self.rpc.sink.send_event(data)
 
     def give_up(self, status: Status) -> None:
         if self.given_up is None:
@@ -85,16 +85,16 @@
             self.scope.cancel()
 
 
-FirstCallback = Callable[[CallAttempt], None]
-WrittenCallback = Callable[[CallAttempt], None]
-Wanted = Callable[[RPC], bool]  # whether its client is still there
+FirstEventCallback = Callable[[Attempt], None]
+WrittenCallback = Callable[[Attempt], None]
+ClientCheck = Callable[[RPC], bool]  # whether its client is still there
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
     """Order to start a call attempt."""
 
-    attempt: CallAttempt
+    attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,10 +120,10 @@
         self,
         number: int,
         target: Target,
-        connect: Connect,
-        probed_with: str,
-        on_ended: AttemptEnded,
-        on_probed: ProbeEnded,
+        connect: ServerClientFactory,
+        probe_protocol: str,
+        on_ended: AttemptCallback,
+        on_probed: ProbeCallback,
         drain_grace_s: float = LONGEST_GRACE_S,
     ) -> None:
         self.number = number
@@ -132,12 +132,12 @@
         self.drained_at: float | None = None  # when it was told to take no more
         self.running = False  # its actor: from its first order on, since most of a large fleet is never used
         self._connect = connect
-        self._clients: dict[str, EngineClient] | None = None
-        self._probed_with = probed_with
+        self._clients: dict[str, ServerClient] | None = None
+        self._probed_with = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._finish_writing_s = time_to_finish_writing(drain_grace_s)
-        self._out: dict[CallAttempt, None] = {}
+        self._in_flight: dict[Attempt, None] = {}
         # Orders come from the module alone, so their number is bounded by the open RPCs and its probes.
         self._channel: tuple[trio.MemorySendChannel[Order], trio.MemoryReceiveChannel[Order]] | None = None
 
@@ -153,7 +153,7 @@
         self._ready = ready
 
     @property
-    def clients(self) -> dict[str, EngineClient]:
+    def clients(self) -> dict[str, ServerClient]:
         """Its clients by protocol, made when they are first asked for."""
         if self._clients is None:
             self._clients = self._connect(self.target.endpoint)
@@ -166,8 +166,8 @@
         return self._channel
 
     @property
-    def out(self) -> int:
-        return len(self._out)
+    def in_flight(self) -> int:
+        return len(self._in_flight)
 
     def post(self, order: Order) -> None:
         """Give the actor an order. One that does not run has nothing that a change could concern."""
@@ -186,23 +186,23 @@
 
     async def run(self) -> None:
         try:
-            await self._obey()
+            await self._process_orders()
         finally:  # told to end, or the program ends: nothing idle stays open
             for client in self.clients.values():
                 client.discard()
 
-    async def _obey(self) -> None:
+    async def _process_orders(self) -> None:
         async with trio.open_nursery() as attempts:
             async for order in self._orders[1]:
                 match order:
                     case Start(attempt):
-                        self._out[attempt] = None
+                        self._in_flight[attempt] = None
                         attempts.start_soon(self._attempt, attempt)
                     case Probing():
                         attempts.start_soon(self._probe)
                     case Update(ready, restarted):
                         if not ready:
-                            for attempt in self._out:
+                            for attempt in self._in_flight:
                                 if not attempt.sending:
                                     attempt.give_up(Status.NOT_SENT)
                             if self._unwritten():
@@ -211,8 +211,8 @@
                             for client in self.clients.values():
                                 client.close_idle()
 
-    def _unwritten(self) -> list[CallAttempt]:
-        return [attempt for attempt in self._out if not attempt.written]
+    def _unwritten(self) -> list[Attempt]:
+        return [attempt for attempt in self._in_flight if not attempt.written]
 
     async def _stop_writing(self) -> None:
         """Guards the drain rule: a request whose bytes still go out has not run, and counts with its last
@@ -222,30 +222,32 @@
         await trio.sleep(self._finish_writing_s)
         if not self.ready:
             for attempt in begun:
-                if attempt in self._out and not attempt.written:
+                if attempt in self._in_flight and not attempt.written:
                     attempt.give_up(Status.NOT_SENT)
 
-    async def _attempt(self, attempt: CallAttempt) -> None:
+    async def _attempt(self, attempt: Attempt) -> None:
         report = None
         client = self.clients.get(attempt.rpc.protocol)
         try:
             with attempt.scope:
                 if client is None:
-                    report = Report(Status.NOT_SENT, note="engine speaks another protocol")
+                    report = AttemptResult(Status.NOT_SENT, note="engine speaks another protocol")
                 elif attempt.given_up is None:
                     report = await client.call(attempt.rpc, attempt)
         except SinkClosed:
             late = attempt.scope.cancel_called and attempt.given_up is None
-            report = Report(Status.TIMEOUT) if late else Report(Status.CANCELLED, note="client gone")
+            report = (
+                AttemptResult(Status.TIMEOUT) if late else AttemptResult(Status.CANCELLED, note="client gone")
+            )
         except Exception as error:  # whatever a peer may provoke must not end the program
-            report = Report(Status.RESET, note=f"fault in the engine client: {error!r}")
+            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
         finally:
-            self._out.pop(attempt, None)
+            self._in_flight.pop(attempt, None)
         if report is None:
             status = attempt.given_up or Status.TIMEOUT
             if status is Status.NOT_SENT and attempt.written:  # its last byte went out in the same moment
                 status = Status.CANCELLED
-            report = Report(status)
+            report = AttemptResult(status)
         if report.status is Status.NOT_SENT and attempt.denied is not None:
             report = replace(report, note=attempt.denied.value)
         self._on_ended(attempt, report, trio.current_time() - attempt.made_at)
@@ -255,9 +257,11 @@
         try:
             report = await self.clients[self._probed_with].probe()
         except Exception as error:  # as above
-            report = Report(Status.RESET, note=f"fault in the engine client: {error!r}")
+            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
         self._on_probed(self, report, trio.current_time() - began)
 
 
-AttemptEnded = Callable[[CallAttempt, Report, float], None]  # with what came of it, and the seconds it took
-ProbeEnded = Callable[[Subchannel, Report, float], None]
+AttemptCallback = Callable[
+    [Attempt, AttemptResult, float], None
+]  # with what came of it, and the seconds it took
+ProbeCallback = Callable[[Subchannel, AttemptResult, float], None]
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -25,19 +25,19 @@
 
     NONE = "none"
     DEADLINE = "deadline"
-    ENGINE = "engine"
+    SERVER = "engine"
     CAPACITY = "capacity"
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalAnswer:
     """The final answer of an RPC, with its cause."""
 
     outcome: Outcome
     cause: Cause = Cause.NONE
     may_have_run: bool = False
     retry_after_s: float = 0.0
-    verdict: object = None  # what the engine said, for the front of the same protocol
+    server_status: object = None  # what the engine said, for the front of the same protocol
 
 
 class SinkClosed(Exception):
@@ -47,12 +47,12 @@
 class EventSink(Protocol):
     """Where a front takes an answer. `finish` is called exactly once."""
 
-    async def event(self, data: bytes) -> None:
+    async def send_event(self, data: bytes) -> None:
         """Pass a piece of the answer on; waits while the client is slow, SinkClosed when it has gone."""
 
-    def finish(self, final: Final) -> None: ...
+    def finish(self, final: FinalAnswer) -> None: ...
 
-    def left(self) -> bool:
+    def has_client_left(self) -> bool:
         """Whether the client has closed or cancelled, as far as a look without waiting tells."""
 
 
@@ -87,10 +87,10 @@
     """Another open RPC has this name."""
 
 
-class Router(Protocol):
+class RPCDispatcher(Protocol):
     """The core, as a front sees it."""
 
-    def closed_owing(self, rpc: str, reason: str) -> None:
+    def closed_without_answer(self, rpc: str, reason: str) -> None:
         """A connection ended with an answer owed though its client had not left."""
 
     classes: Mapping[str, RequestClass]
@@ -106,37 +106,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class AttemptResult:
     """How an attempt or a probe ended."""
 
     status: Status
     load: dict[Metric, float] = field(default_factory=dict)
     cached_tokens: int = 0
     note: str = ""
-    verdict: object = None  # the engine's own answer to a faulty request, to be passed on as it is
+    server_status: object = None  # the engine's own answer to a faulty request, to be passed on as it is
 
 
-class CallProgress(Protocol):
+class AttemptProgress(Protocol):
     """What an engine client tells of a call attempt while it is out."""
 
     def may_send(self) -> bool:
         """Asked right before the first byte is written."""
 
-    def sent(self) -> None:
+    def mark_written(self) -> None:
         """Told once the last byte is written: from now on the request may run."""
 
-    def wait_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         """For how long the router will wait for the first event, from the moment of that question."""
 
-    async def event(self, data: bytes) -> None: ...
+    async def forward_event(self, data: bytes) -> None: ...
 
 
-class EngineClient(Protocol):
+class ServerClient(Protocol):
     """Speaks one protocol with one engine. A cancelled call gives the engine up by closing its connection."""
 
-    async def call(self, rpc: RPC, progress: CallProgress) -> Report: ...
+    async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult: ...
 
-    async def probe(self) -> Report: ...
+    async def probe(self) -> AttemptResult: ...
 
     def close_idle(self) -> None: ...
 
@@ -168,5 +168,5 @@
     version: int = 0
 
 
-Connect = Callable[[str], dict[str, EngineClient]]  # an endpoint's clients, by protocol
+ServerClientFactory = Callable[[str], dict[str, ServerClient]]  # an endpoint's clients, by protocol
 Log = Callable[..., None]  # (severity, message id, text, **structured data)
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,30 +8,30 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
-from sorreldock.protocol.http.client import HttpEngineClient
+from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
-from sorreldock.routing.subchannel import CallAttempt
-from sorreldock.transport.budget import Descriptors
+from sorreldock.routing.subchannel import Attempt
+from sorreldock.transport.budget import DescriptorBudget
 from sorreldock.transport.connection import Connection
 
 
-@story
+@trio_test
 async def test_a_second_answer_that_comes_late_is_not_the_next_requests() -> None:
-    spoil, engine = trio.Event(), Engine()
+    spoil, engine = trio.Event(), ScriptedServer()
 
-    async def twice(call: Call) -> None:
-        await serve_well(call)
+    async def twice(call: ReceivedRequest) -> None:
+        await answer_in_full(call)
         await spoil.wait()
         await call.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
         )
 
     engine.scripts.append(twice)
-    async with among(engine) as router:
+    async with running_router(engine) as router:
         assert (await router.post(x_trace_id="t0")).whole
         got = await router.post(x_trace_id="t1")  # at once: the first connection has not rested
         assert got.body == b"".join(EVENTS) and engine.connections == 2
@@ -46,16 +46,16 @@
     assert time_to_finish_writing(0.25) == time_to_finish_writing(5.0) == pytest.approx(0.08)
 
 
-@story
+@trio_test
 async def test_an_attempt_is_not_written_after_its_time() -> None:
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
     for send_by, may in ((now - 0.001, False), (now + 60.0, True)):
-        attempt = CallAttempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
+        attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
         assert attempt.may_send() is may
 
 
-@story
+@trio_test
 async def test_no_repeat_of_a_keyed_request_is_written_after_its_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -80,27 +80,27 @@
 
     monkeypatch.setattr(program_serve, "dialler", slow_dialler)
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
     discovery_address = ""
-    async with among(first, second, categories=categories) as router:
+    async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
         dialled.clear()
         got = await router.post()
     assert got.status in (502, 503, 504) and len(dialled) == 2
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
-@story
+@trio_test
 async def test_a_refused_connection_tells_that_no_process_listens() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, and nobody listens
-        closed = HttpEngineClient(address, Descriptors(364), 1.0, 60.0, "/alive")
+        closed = HttpServerClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
         assert (await closed.call(attempt, attempt)).status is Status.NO_LISTENER
-    nowhere = HttpEngineClient("not-an-address", Descriptors(364), 1.0, 60.0, "/alive")
+    nowhere = HttpServerClient("not-an-address", DescriptorBudget(364), 1.0, 60.0, "/alive")
     assert (await nowhere.probe()).status is Status.CONNECT_FAILED
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Discovery, Engine, among, story
+from peers import EVENTS, SETTINGS, Discovery, ReceivedRequest, ScriptedServer, running_router, trio_test
 
 from sorreldock.program import syslog
 from sorreldock.program.config import ConfigError, Operator, load, operator_from
@@ -133,7 +133,7 @@
     )
 
 
-@story
+@trio_test
 async def test_a_collector_gets_counted_octets_and_a_slow_one_costs_records_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -165,9 +165,9 @@
     assert len(records) == 5 and b'[sorreldock@32473 count="7"]' in records[3]
 
 
-@story
+@trio_test
 async def test_the_program_starts_on_a_tree_it_cannot_write_and_ends_at_sigterm(tmp_path: Path) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     discovery = Discovery(engine)
     async with engine.open(), discovery.open():
         env = written(tmp_path, discovery=discovery.address, known=discovery.listing())
@@ -203,9 +203,9 @@
     return said
 
 
-@story
+@trio_test
 async def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    engine = Engine()
+    engine = ScriptedServer()
     first, second = Discovery(engine), Discovery(engine)
     async with engine.open(), first.open(), second.open():
         env = written(tmp_path, discovery=first.address, known=first.listing())
@@ -236,7 +236,7 @@
         assert await process.wait() == 0
 
 
-@story
+@trio_test
 async def test_sighup_before_the_program_listens_for_it_is_heard_later(tmp_path: Path) -> None:
     code = (
         "import os, signal, runpy, sys\n"
@@ -263,35 +263,35 @@
     assert await process.wait() == 0
 
 
-@story
+@trio_test
 async def test_open_rpcs_and_subchannels_outlive_a_move_of_the_watch() -> None:
     more = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
-    engine = Engine(slowly)
+    engine = ScriptedServer(slowly)
     first, second = Discovery(engine), Discovery(engine)
-    async with second.open(), among(engine, discovery=first) as router:
+    async with second.open(), running_router(engine, discovery=first) as router:
         await first.watching.wait()
         before = dict(router.program.core.subchannels)
         wire = await router.start_post()
         await wire.next()
-        router.program.resolver.move(second.address)
+        router.program.resolver.change_address(second.address)
         await second.watching.wait()
         more.set()
         assert [(await wire.next()).data for _ in EVENTS] == EVENTS
         assert router.program.core.subchannels == before
 
 
-@story
+@trio_test
 async def test_a_fault_in_the_module_fails_its_rpcs_and_spares_the_program(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         assert (await router.post()).status == 200
         gateway = router.program.core._gateway
         with monkeypatch.context() as patch:
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -11,7 +11,7 @@
 import trio.testing
 from grpc_peers import BOTH, SharedEngine, Stream, grpc_client
 from grpc_peers import request as grpc_request
-from peers import Call, Discovery, Engine, among, serve_until, story
+from peers import Discovery, ReceivedRequest, ScriptedServer, running_router, stream_until, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.kserve.framing import Code
@@ -19,7 +19,7 @@
 from sorreldock.program.phases import Phase
 from sorreldock.protocol.http.arrivals import Arrivals
 from sorreldock.protocol.http.discovery import decode_result
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection
 from sorreldock.transport.listener import Listener
 
@@ -32,27 +32,27 @@
         await trio.testing.wait_all_tasks_blocked()
 
 
-@story
+@trio_test
 async def test_a_client_that_leaves_behind_more_than_is_kept_ahead_is_seen() -> None:
     taken, left = trio.Event(), trio.Event()
 
-    async def hold(call: Call) -> None:
+    async def hold(call: ReceivedRequest) -> None:
         taken.set()
-        await call.left()
+        await call.wait_closed()
         left.set()
 
-    engine = Engine(hold)
-    async with among(engine) as router:
+    engine = ScriptedServer(hold)
+    async with running_router(engine) as router:
         wire = await router.start_post()
         await taken.wait()
         await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 200_000) * 5)
         await wire.stream.aclose()
         with trio.fail_after(1.0):
             await left.wait()
-    assert len(engine.calls) == 1 and router.program.payloads.used == 0
+    assert len(engine.received_requests) == 1 and router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_an_end_behind_more_than_the_ring_holds_is_seen_without_reading() -> None:
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
@@ -62,17 +62,17 @@
     ours.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(ours), lambda: None)
     theirs.sendall(b"x" * 50_000)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     theirs.close()  # loopback delivers it before the call returns
-    assert connection.ended()
+    assert connection.has_peer_closed()
     connection.close()
 
 
-@story
+@trio_test
 async def test_of_too_many_requests_ahead_the_kept_ones_are_served_and_the_next_is_refused() -> None:
-    finish, engine = trio.Event(), Engine()
-    engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+    finish, engine = trio.Event(), ScriptedServer()
+    engine.scripts.append(stream_until(finish))
+    async with running_router(engine) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"t0"))
         await wire.stream.receive_some(65536)
@@ -83,15 +83,15 @@
         said = await all_of(wire.stream)
     assert said.count(LAST_CHUNK) == 2 and said.count(b"HTTP/1.1 503") == 1
     assert b"connection: close" in said[said.index(b"HTTP/1.1 503") :]
-    assert [call.headers["x-trace-id"] for call in engine.calls] == ["t0", "t1"]
+    assert [call.headers["x-trace-id"] for call in engine.received_requests] == ["t0", "t1"]
     assert router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_the_clock_of_a_request_sent_ahead_runs_from_its_own_bytes() -> None:
-    finish, engine = trio.Event(), Engine()
-    engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+    finish, engine = trio.Event(), ScriptedServer()
+    engine.scripts.append(stream_until(finish))
+    async with running_router(engine) as router:
         wire = await router.connect()
         for trace in (b"t0", b"t1", b"t2"):  # each is read before the next is sent
             await wire.stream.send_all(raw(x_trace_id=trace, x_expires_in=b"1900m"))
@@ -100,7 +100,7 @@
         said = b""
         while said.count(LAST_CHUNK) < 3:
             said += await wire.stream.receive_some(65536)
-    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.calls]
+    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.received_requests]
     assert told[1] < 1.4 and told[1] < told[2] - 0.25
 
 
@@ -112,9 +112,9 @@
     assert [arrivals.of_last_parsed(left) for left in (32, 27, 26, 7, 6, 0)] == [2.0, 2.0, 3.0, 3.0, 4.0, 4.0]
 
 
-@story
+@trio_test
 async def test_connections_in_the_backlog_are_served_when_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -159,9 +159,9 @@
         return await self.sock.accept()
 
 
-@story
+@trio_test
 async def test_the_backlog_is_served_though_accepts_fail_for_a_moment_as_the_listener_closes() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -183,9 +183,9 @@
     assert short.failures == 0 and budget.used[Use.CLIENT] == 0
 
 
-@story
+@trio_test
 async def test_a_newcomer_is_served_once_there_are_descriptors_again() -> None:
-    budget = Descriptors(1024)
+    budget = DescriptorBudget(1024)
     listener = Listener("127.0.0.1:0", budget)
     host, port = (await listener.bind()).rsplit(":", 1)
     await listener.listen()
@@ -204,31 +204,31 @@
     assert budget.used[Use.CLIENT] == 0
 
 
-@story
+@trio_test
 async def test_a_request_half_read_at_the_end_of_the_drain_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(program_serve, "CONNECTIONS_END_S", 0.0)
-    engine = Engine()
-    async with among(engine) as router:
+    engine = ScriptedServer()
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-4])
         await trio.testing.wait_all_tasks_blocked(0.05)  # until it has been read
         router.program.linger_s = 0.0
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         await pass_by()
         assert router.program.lifecycle.phase is Phase.DRAINING
         await wire.stream.send_all(sent[-4:])
         assert LAST_CHUNK in await all_of(wire.stream)
-    assert len(engine.calls) == 1
+    assert len(engine.received_requests) == 1
 
 
-@story
+@trio_test
 async def test_nobody_can_connect_before_the_program_serves() -> None:
-    listener = Listener("127.0.0.1:0", Descriptors(1024))
+    listener = Listener("127.0.0.1:0", DescriptorBudget(1024))
     host, port = (await listener.bind()).rsplit(":", 1)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection((host, int(port)))
@@ -240,42 +240,42 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-@story
+@trio_test
 async def test_what_is_whole_too_late_before_a_kill_is_refused_at_once(
     late: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(program_serve, "LAST_TAKEN_S", 0.0 if late else 60.0)
-    engine = Engine()
-    async with among(engine) as router:
+    engine = ScriptedServer()
+    async with running_router(engine) as router:
         wire = await router.connect()
         sent = raw(body=b"x" * 8)
         await wire.stream.send_all(sent[:-4])
         await trio.testing.wait_all_tasks_blocked(0.05)
         router.program.linger_s = 0.0
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         await wire.stream.send_all(sent[-4:])
         said = await all_of(wire.stream)
         assert said.startswith(b"HTTP/1.1 503" if late else b"HTTP/1.1 200")
         assert b"connection: close" in said
-    assert len(engine.calls) == (not late)
+    assert len(engine.received_requests) == (not late)
 
 
-@story
+@trio_test
 async def test_a_grpc_call_that_comes_too_late_before_a_kill_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = SharedEngine()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
-        router.program.fronts["kserve"].refuse_from = trio.current_time()
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
+        router.program.fronts["kserve"].refuse_requests_from = trio.current_time()
         assert (await client.call("ModelInfer", grpc_request()))[0] == Code.UNAVAILABLE
     assert not engine.grpc_calls
 
 
-@story
+@trio_test
 async def test_a_drain_does_not_reset_an_answer_behind_which_bytes_still_come() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_qos=b"nothing", length=b"999"))
         front = router.program.fronts["http"]
@@ -290,7 +290,7 @@
         await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_a_grpc_cancel_is_heard_though_the_client_reads_nothing() -> None:
     taken, left = trio.Event(), trio.Event()
 
@@ -308,7 +308,7 @@
 
     engine = SharedEngine()
     engine.grpc_scripts = [flood, hold]
-    async with among(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router, reads=False) as client:
         client.end.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
         client.end.h2.update_settings({4: 2**30})  # room for all that the engine sends
         client.end.h2.increment_flow_control_window(2**30)
@@ -325,7 +325,7 @@
             await router.program.fronts["kserve"].drain()
 
 
-@story
+@trio_test
 async def test_a_grpc_client_that_closed_is_seen_before_its_connection_is_read() -> None:
     taken = trio.Event()
 
@@ -334,24 +334,26 @@
         while not call.end.closed:
             await call.end.changed.wait()
 
-    async with among(SharedEngine(hold), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(hold), operator=BOTH) as router, grpc_client(router) as client:
         await client.start("ModelInfer", grpc_request())
         await taken.wait()
         [connection] = router.program.fronts["kserve"].clients
         [stream] = connection.streams.values()
-        assert not stream.left()
+        assert not stream.has_client_left()
         client.end.stream.socket.close()  # type: ignore[attr-defined]
-        assert stream.left() and connection.streams  # nothing has run since: its reader has not heard
+        assert (
+            stream.has_client_left() and connection.streams
+        )  # nothing has run since: its reader has not heard
 
 
-@story
+@trio_test
 async def test_an_older_change_does_not_bring_back_a_server_that_drains() -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         subchannels = router.program.core.subchannels
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         while all(s.ready for s in subchannels.values()):
             await trio.sleep(0.005)
         known = router.program.resolver.version
