--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -60,9 +60,7 @@
 MAX_SCANNED_REPLICAS = 256  # replicas that the last resort examines one by one; from more it draws some
 LAST_RESORT_DRAWS = 64
 MAX_CACHED_KEYS = 1000  # keys whose draws are cached: more than the prefixes in use, a few hundred kB
-HOMES_MULTIPLE = (
-    2.0  # homes of a prefix, as a multiple of the replicas that its share of the traffic would fill
-)
+HOMES_MULTIPLE = 2.0  # homes of a prefix per replica that its share of the traffic would fill
 REJECTION_HALF_LIFE_S = 2.0  # of a rejection probability without new overload; a report is fresh for as long
 MAX_RECEIVED_ATTEMPTS = 2  # a third try adds to the storm that failed two: clients retry as well
 FIRST_EJECTION_S = 2.0  # short, as a first failure may be chance; doubles with each further failure
@@ -100,9 +98,7 @@
     "zone_p_at": "zone_rejection_updated_at",
     "lateness": "late_fraction",
 }
-MANY_GATEWAYS = (
-    6  # beyond that each samples loads for fewer of its requests, as all of them pay for all probes
-)
+MANY_GATEWAYS = 6  # with more, each samples loads for fewer of its requests: all of them pay for all probes
 MAX_PROBE_S = 0.26  # a probe has ended by then, answered or not
 # An attempt is stuck if one that was sent so much later has its first token, in a third of the time or less.
 OVERTAKING_LAG_S = 0.5
@@ -114,7 +110,7 @@
 
 
 class Gateway:
-    """The decision module of one gateway: takes events and returns actions."""
+    """One instance of the decision module, which takes events and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -133,9 +129,8 @@
         self.prefix_counts: dict[str, float] = {}  # recent requests by prefix; older ones count for less
         self.prefixed_count = 0.0  # recent requests that have a prefix
         self.first_token_p95_s = {c.name: c.aim_s / 2 for c in settings.classes}
-        self.move_credit = (
-            0.0  # late requests that may be moved: first tokens add to it, and show what is late
-        )
+        # Late requests that may be moved; added to by first tokens, which also teach what is late.
+        self.move_credit = 0.0
         self.probe_credit = 1.0
         self.mean_report = [0.0] * len(settings.metrics)
         self.zone_load = dict.fromkeys(settings.zones, 1.0)
@@ -322,9 +317,8 @@
                     or self.expected_first_token_s(replica) < self.expected_first_token_s(fallback)
                 ):
                     fallback = replica
-            if (
-                least_crowded is not None
-            ):  # crowded is not overloaded: that alone sends nothing to another zone
+            # Crowded is not overloaded: crowding alone sends no request to another zone.
+            if least_crowded is not None:
                 return least_crowded
         if fallback is not None:  # all drawn replicas are overloaded; an estimate alone refuses no request
             return fallback
@@ -660,9 +654,9 @@
         self.finish(request)
 
     def retry_advice_s(self, request: Request) -> float:
-        """Return how long the client should wait; rejection probabilities have halved by then.
+        """Return how long the client should wait, so that rejection probabilities fall in the meantime.
 
-        The wait is random, so that requests refused together do not return together.
+        The wait is random around half of their half-life: requests refused together do not return together.
         """
         limits = self.settings.limits
         pause_s = min(REJECTION_HALF_LIFE_S * self.random.uniform(0.25, 0.75), limits.max_retry_after_s)
@@ -670,7 +664,7 @@
         return 0.0 if not limits.retry_advice else min(pause_s, 0.5 * left_s) if left_s > 0 else pause_s
 
     def finish(self, request: Request) -> None:
-        """Mark a request as answered, and drop it unless an attempt is still open."""
+        """Mark a request as answered, and drop its record unless an attempt is still open."""
         request.finished = True
         self.awaiting_probe.pop(request.event.request, None)
         if not request.has_open_attempt():
