--- a/sorreldock/policy/replica.py
+++ b/sorreldock/policy/replica.py
@@ -38,14 +38,12 @@
 
     def reset_learned(self) -> None:
         """Drop everything that was learned about the previous server process."""
-        self.ejected_until = self.first_token_at = self.load_reported_at = self.probed_at = (
-            self.probe_answered_at
-        ) = -math.inf
+        self.ejected_until = self.first_token_at = self.load_reported_at = self.probed_at = -math.inf
         self.failure_count = 0
         self.probed_as_sample = False
         self.estimated_first_token_s = self.refusal_level = 0.0
         # A process that listens after `no_listener_at` has started since then.
-        self.refused_at = self.no_listener_at = -math.inf
+        self.probe_answered_at = self.refused_at = self.no_listener_at = -math.inf
         # Of the attempts with a first token, the one sent last: when it was sent, and its first-token time.
         self.latest_started_attempt = (-math.inf, 0.0)
         self.report_values: tuple[float, ...] = ()
