--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -37,7 +37,7 @@
 STOP_S = 75.0
 LAST_LINES = 12
 # What the program logs of its own faults, and of rules that it has seen itself break.
-FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client")
+FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client")
 
 
 @dataclass
--- a/sorreldock/lab/soak/runner.py
+++ b/sorreldock/lab/soak/runner.py
@@ -24,7 +24,7 @@
 DOWN_S = 0.5  # from a process's end to its successor's start
 HELD_UP_S = 0.15
 TICK_S = 0.01
-FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client", "Traceback")
+FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client", "Traceback")
 ZONES = ["north", "south", "west", "east"]
 
 
--- a/sorreldock/routing/__init__.py
+++ b/sorreldock/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core: open RPCs, call attempts, timers and the module's actor. It knows no wire."""
+"""Routing independent of protocols: open RPCs, attempts, timers and the decision module's actor."""
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -1,4 +1,4 @@
-"""The core: the table of open RPCs, the timers, and the actor that alone speaks with the module."""
+"""The core: the table of open RPCs, the timers, and the only actor that uses the decision module."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 from ..rules import Gateway
 from .mailbox import DecisionMailbox
 from .open_rpc import NEVER_RAN, OpenRPC
-from .pace import DecisionPace, advice_s, waits_too_long
+from .pace import DecisionStats, retry_after_s, waits_too_long
 from .permissions import Audit, Rule, may_begin, write_until
 from .server_table import ServerTable
-from .subchannel import Attempt, Probing, Start, Subchannel
+from .subchannel import Attempt, Start, StartProbe, Subchannel
 from .timers import Timers
 from .types import (
     RPC,
@@ -56,15 +56,16 @@
     ServerClientFactory,
 )
 
-# The final answer has to land before the client gives up, and its clock started a journey earlier than ours.
+# The final answer must arrive before the client's deadline, which started to run one network delay before the
+# router received the request.
 MARGIN_S = 0.03
-OVERDUE_S = 0.02  # after this the core answers by itself what the module has left open
-EVENTS_AT_ONCE = 16  # decided on together; where that took long, one at a time
-SLICE_S = 0.005  # of decisions, behind which sockets and deadlines have their turn
+OVERDUE_S = 0.02  # this long after an RPC's deadline the core answers it if the decision module has not
+MAX_BATCH_EVENTS = 16  # passed to the decision module together; after a long batch one at a time
+SLICE_S = 0.005  # of decisions, after which other tasks run and due timers are processed
 
 
 class Core:
-    """The table of open RPCs, and the actor that speaks with the decision module."""
+    """The table of open RPCs and the actor that runs the decision module."""
 
     def __init__(
         self,
@@ -81,42 +82,53 @@
         self.tenants: Collection[str] = {t.name for t in settings.tenants}
         self.open_rpcs: dict[str, OpenRPC] = {}
         self._table = ServerTable(
-            connect, probe_protocol, self._attempt_ended, self._probe_ended, settings.guarantees.drain_grace_s
+            connect,
+            probe_protocol,
+            self._on_attempt_ended,
+            self._on_probe_ended,
+            settings.guarantees.drain_grace_s,
         )
         self.subchannels = self._table.subchannels
         self._gateway = Gateway(settings, seed)
         self._log = log
         self.max_open_rpcs = max_open_rpcs
-        self._names: set[tuple[str, str]] = set()  # of the open RPCs
+        self._names: set[tuple[str, str]] = set()  # protocols and client-chosen names of the open RPCs
         self._arrived = 0
-        self._timers: Timers[str | OpenRPC] = Timers()  # the module's tokens, and deadlines
-        # The clock of the module is Unix time, as the engines' start times are, but never steps back.
+        self._timers: Timers[str | OpenRPC] = Timers()  # the decision module's tokens, and deadlines
+        # The decision module's clock is Unix time, like the servers' start times, but monotonic.
         self._epoch = wall() - trio.current_time()
         self._mailbox = DecisionMailbox()
-        self._module_failed = False  # and may have missed a change: the next whole list is told in full
-        # RPCs that nobody waits for any longer, and their attempts so far, until the module has heard of it.
-        self._gone: dict[str, int] = {}
+        # Set when the decision module failed and may have missed a change: it then gets the next whole list
+        # in full.
+        self._module_failed = False
+        # The number of attempts of each abandoned RPC, until the decision module has processed its
+        # ClientGone.
+        self._abandoned: dict[str, int] = {}
         self._nursery: trio.Nursery | None = None
         self._idle = trio.Event()
-        self._pace = DecisionPace(trio.current_time())
+        self._stats = DecisionStats(trio.current_time())
         self.audit = Audit(log)
 
-    # What the fronts call.
+    # Called by the fronts.
 
     def can_serve(self) -> bool:
+        """Return whether the core runs and at least one server takes requests."""
         return self._nursery is not None and any(s.ready for s in self.subchannels.values())
 
     def submit(self, rpc: RPC) -> None:
-        """Take an RPC; its sink gets exactly one final answer."""
-        if len(self.open_rpcs) >= self.max_open_rpcs:  # guards memory: every open RPC holds its payload
+        """Accept an RPC, whose sink gets exactly one final answer.
+
+        Raises Overloaded when too many RPCs are open and NameTaken when an open one has the same name.
+        """
+        if len(self.open_rpcs) >= self.max_open_rpcs:  # bounds memory, since each open RPC holds its payload
             raise Overloaded
         if rpc.named_by_client:
-            # Guards the first of the two: an engine knows them by their names, and would mix them up.
+            # A server identifies requests by these names and would confuse the two.
             if (rpc.protocol, rpc.name) in self._names:
                 raise NameTaken
             self._names.add((rpc.protocol, rpc.name))
         self._arrived += 1
-        # The module builds its timers' tokens from the id with colons, and an id may come twice.
+        # The decision module joins this key with colons into timer tokens, and names may repeat over time.
         rpc.key = f"{rpc.name.replace(':', '_')}.{self._arrived}"
         rpc.expires_at = trio.current_time() + rpc.expires_in_s - min(MARGIN_S, 0.1 * rpc.expires_in_s)
         entry = self.open_rpcs[rpc.key] = OpenRPC(rpc)
@@ -138,6 +150,7 @@
         )
 
     def client_gone(self, rpc: RPC, reason: str = "") -> None:
+        """Cancel the RPC of a client that has disconnected; does nothing once the RPC is answered."""
         entry = self.open_rpcs.get(rpc.key)
         if entry is None or entry.answered:
             return
@@ -145,21 +158,23 @@
         self._abandon(entry)
 
     def closed_without_answer(self, rpc: str, reason: str) -> None:
-        self.audit.expect(False, Rule.CLOSED_OWING, rpc, reason=reason)
+        """Record that a connection was closed before its answer though the client had not disconnected."""
+        self.audit.check(False, Rule.CLOSED_OWING, rpc, reason=reason)
 
-    def _wanted(self, rpc: RPC) -> bool:
+    def _check_client(self, rpc: RPC) -> bool:
+        """Return whether the client is still connected, and cancel its RPC if it is not."""
         if rpc.sink.has_client_left():
-            self.client_gone(rpc, "seen before an attempt")
+            self.client_gone(rpc, "disconnected before an attempt was written")
             return False
         return True
 
     def _abandon(self, entry: OpenRPC) -> None:
-        """Nobody waits any longer: tell the module, and stop what is still out."""
-        self._gone[entry.rpc.key] = len(entry.attempts)
+        """Notify the decision module that the client is gone, and abort the attempts in flight."""
+        self._abandoned[entry.rpc.key] = len(entry.attempts)
         self._mailbox.post(ClientGone(entry.rpc.key))
         for attempt in entry.attempts:
             if attempt is not None:
-                attempt.give_up(Status.CANCELLED)
+                attempt.abort(Status.CANCELLED)
         self._remove_if_complete(entry)
 
     async def wait_until_idle(self) -> None:
@@ -168,10 +183,10 @@
             self._idle = trio.Event()
             await self._idle.wait()
 
-    # What the resolver calls.
+    # Called by the resolver.
 
     def apply_resolver_result(self, result: ResolverResult) -> None:
-        """Take a resolver result: the subchannels follow at once, the module in its next batches."""
+        """Apply a resolver result to the subchannels now, and to the decision module in its next batches."""
         whole = result.kind is not ListKind.DELTA
         change = self._table.apply(result, whole and self._module_failed)
         if whole:
@@ -179,35 +194,38 @@
         if change is not None:
             self._mailbox.post(change)
 
-    # What another process of the same router is told, and tells.
+    # Exchanged with the peer processes of a takeover.
 
     def known_servers(self) -> ResolverResult:
-        """All servers as they are known."""
+        """Return the list of all servers as currently known."""
         return ResolverResult(ListKind.FULL, tuple(s.target for s in self.subchannels.values()))
 
     def attempts_in_flight(self) -> dict[int, int]:
-        """Call attempts out, by replica."""
+        """Return the number of attempts in flight, by replica number."""
         return {number: s.in_flight for number, s in self.subchannels.items() if s.in_flight}
 
     def snapshot(self) -> dict[str, Any]:
+        """Return what the decision module has learned, for `restore` in a successor."""
         return self._gateway.snapshot()
 
     def restore(self, learned: dict[str, Any]) -> None:
+        """Pass a predecessor's snapshot to the decision module."""
         self._mailbox.post(Learned(learned))
 
     def set_peer_attempts(self, counts: dict[int, int]) -> None:
+        """Pass on the numbers of attempts in flight from peer processes, by replica number."""
         self._mailbox.post(OutElsewhere(counts))
 
-    # What the call attempts tell.
+    # Called by the attempts and the subchannels.
 
-    def _attempt_began(self, attempt: Attempt) -> None:
-        latency = attempt.first_s = trio.current_time() - attempt.made_at
-        attempt.rpc.payload = None  # nothing more goes out for it
+    def _on_first_event(self, attempt: Attempt) -> None:
+        latency = attempt.first_event_s = trio.current_time() - attempt.created_at
+        attempt.rpc.payload = None  # the RPC gets no further attempt
         self._mailbox.post(FirstToken(attempt.rpc.key, attempt.number, attempt.subchannel.number, latency))
 
-    def _attempt_written(self, attempt: Attempt) -> None:
+    def _on_attempt_written(self, attempt: Attempt) -> None:
         entry = self.open_rpcs[attempt.rpc.key]
-        self.audit.written(
+        self.audit.check_written(
             attempt.rpc.key,
             trio.current_time(),
             answered=entry.answered,
@@ -216,25 +234,25 @@
             drained_at=attempt.subchannel.drained_at,
         )
 
-    def _attempt_ended(self, attempt: Attempt, report: AttemptResult, latency_s: float) -> None:
+    def _on_attempt_ended(self, attempt: Attempt, result: AttemptResult, latency_s: float) -> None:
         entry = self.open_rpcs[attempt.rpc.key]
         entry.in_flight -= 1
-        entry.statuses.append(report.status)
+        entry.statuses.append(result.status)
         entry.attempts[attempt.number] = None
-        if entry.first_run_at is None and report.status not in NEVER_RAN:
-            entry.first_run_at = attempt.made_at
+        if entry.first_run_at is None and result.status not in NEVER_RAN:
+            entry.first_run_at = attempt.created_at
         if not entry.answered:
-            if report.status is Status.OK:
-                self._finish(entry, FinalAnswer(Outcome.SERVED, server_status=report.server_status))
+            if result.status is Status.OK:
+                self._finish(entry, FinalAnswer(Outcome.SERVED, server_status=result.server_status))
             elif attempt.started:
-                gone = report.status is Status.CANCELLED
-                outcome = Outcome.GONE if gone else Outcome.BROKEN
+                cancelled = result.status is Status.CANCELLED
+                outcome = Outcome.GONE if cancelled else Outcome.BROKEN
                 self._finish(entry, FinalAnswer(outcome, Cause.SERVER, True))
-        if report.status is Status.OK:
+        if result.status is Status.OK:
             self._log(
                 "debug",
                 "ANSWER",
-                "call attempt served",
+                "attempt served",
                 rpc=attempt.rpc.key,
                 subchannel=attempt.subchannel.target.uid,
                 kind=attempt.subchannel.target.kind,
@@ -245,53 +263,53 @@
                 prefix=attempt.rpc.prefix,
                 resumed=attempt.rpc.resumed,
                 tokens=attempt.rpc.prompt_tokens,
-                cached=report.cached_tokens,
-                held_s=round(attempt.made_at - entry.arrived_at, 4),
-                first_s=round(attempt.first_s, 4),
+                cached=result.cached_tokens,
+                held_s=round(attempt.created_at - entry.arrived_at, 4),
+                first_s=round(attempt.first_event_s, 4),
                 took_s=round(latency_s, 4),
             )
         else:
             self._log(
                 "info",
                 "ATTEMPT",
-                "call attempt ended without an answer",
+                "attempt ended without an answer",
                 rpc=attempt.rpc.key,
                 number=attempt.number,
                 subchannel=attempt.subchannel.target.uid,
-                status=report.status.value,
+                status=result.status.value,
                 started=attempt.started,
                 took_s=round(latency_s, 4),
-                note=report.note,
+                note=result.note,
             )
         self._mailbox.post(
             AttemptEnded(
                 attempt.rpc.key,
                 attempt.number,
                 attempt.subchannel.number,
-                report.status,
+                result.status,
                 latency_s,
                 entry.answered,
-                report.cached_tokens,
-                self._row(report),
+                result.cached_tokens,
+                self._load_row(result),
             )
         )
         self._remove_if_complete(entry)
 
-    def _probe_ended(self, subchannel: Subchannel, report: AttemptResult, latency_s: float) -> None:
-        self._mailbox.post(ProbeEnded(subchannel.number, report.status, latency_s, self._row(report)))
+    def _on_probe_ended(self, subchannel: Subchannel, result: AttemptResult, latency_s: float) -> None:
+        self._mailbox.post(ProbeEnded(subchannel.number, result.status, latency_s, self._load_row(result)))
 
-    def _row(self, report: AttemptResult) -> tuple[float, ...]:
-        """The reported values in the order of the settings; empty when one is missing."""
-        if any(metric not in report.load for metric in self.settings.metrics):
+    def _load_row(self, result: AttemptResult) -> tuple[float, ...]:
+        """Return the reported load values in the order of the settings; empty if one is missing."""
+        if any(metric not in result.load for metric in self.settings.metrics):
             return ()
-        return tuple(report.load[metric] for metric in self.settings.metrics)
+        return tuple(result.load[metric] for metric in self.settings.metrics)
 
-    # The module's actor.
+    # The decision module's actor.
 
     async def run(self) -> None:
-        """Hand the module its events, once a tick, and carry out its actions."""
-        tick = self.settings.tick_s
-        last = -math.inf
+        """Pass events to the decision module, at most once per tick, and execute its actions."""
+        tick_s = self.settings.tick_s
+        last_run_at = -math.inf
         async with trio.open_nursery() as self._nursery:
             for subchannel in self.subchannels.values():
                 if subchannel.running:
@@ -299,31 +317,33 @@
             while True:
                 with trio.move_on_at(self._timers.next_at):
                     await self._mailbox.wait()
-                if last + tick > trio.current_time():
-                    await trio.sleep_until(last + tick)
-                last = trio.current_time()
+                if last_run_at + tick_s > trio.current_time():
+                    await trio.sleep_until(last_run_at + tick_s)
+                last_run_at = trio.current_time()
                 await self._decide_all()
-                if (summary := self._pace.summary(trio.current_time())) is not None:
-                    self._log("notice", "DECISIONS", "decisions take long or wait", **summary)
+                if (summary := self._stats.summary(trio.current_time())) is not None:
+                    self._log("notice", "DECISIONS", "decisions took long", **summary)
 
     async def _decide_all(self) -> None:
-        """Decide on all that waits, in slices: deadlines and sockets must not wait for many decisions."""
-        most, slice_began = EVENTS_AT_ONCE, trio.current_time()
-        self._due()
-        while events := self._mailbox.take(most):
-            began = trio.current_time()
+        """Decide on all pending events, in slices so that decisions don't delay deadlines and sockets."""
+        max_events, slice_began_at = MAX_BATCH_EVENTS, trio.current_time()
+        self._process_due_timers()
+        while events := self._mailbox.take(max_events):
+            began_at = trio.current_time()
             if events := [event for event in events if self._should_decide(event)]:
                 self._decide(events)
             now = trio.current_time()
-            most = 1 if now - began > SLICE_S else EVENTS_AT_ONCE
-            if now - slice_began > SLICE_S:
+            max_events = 1 if now - began_at > SLICE_S else MAX_BATCH_EVENTS
+            if now - slice_began_at > SLICE_S:
                 await trio.lowlevel.checkpoint()
-                slice_began = trio.current_time()
-                self._due()
+                slice_began_at = trio.current_time()
+                self._process_due_timers()
 
     def _should_decide(self, event: Event) -> bool:
-        """Whether the module is to hear of it: a request that has ended meanwhile never reaches a server, and
-        one that has waited too long is refused while its client can still go elsewhere.
+        """Return whether to pass an event to the decision module.
+
+        A new request that has ended in the meantime is dropped, so it never reaches a server. One that has
+        waited too long is refused here, while its client still has time to use another router.
         """
         if not isinstance(event, RequestArrived):
             return True
@@ -334,43 +354,44 @@
         if not waits_too_long(waited_s, entry.rpc.expires_at - entry.arrived_at):
             return True
         final = FinalAnswer(
-            Outcome.REFUSED, Cause.CAPACITY, False, advice_s(self.settings.limits, entry.rpc.key)
+            Outcome.REFUSED, Cause.CAPACITY, False, retry_after_s(self.settings.limits, entry.rpc.key)
         )
         self._finish(entry, final, f"decisions are {waited_s:.3f} s behind")
         self._remove_if_complete(entry)
         return False
 
-    def _due(self) -> None:
-        for what in self._timers.due(trio.current_time()):
-            if isinstance(what, str):
-                self._mailbox.post(TimerFired(what))
-            elif not what.answered and not what.started:
-                # Guards the first rule: whatever the module does, the client hears before it gives up.
-                self._finish(what, FinalAnswer(Outcome.FAILED, Cause.DEADLINE, what.may_have_run()))
-                self._abandon(what)
+    def _process_due_timers(self) -> None:
+        for item in self._timers.pop_due(trio.current_time()):
+            if isinstance(item, str):
+                self._mailbox.post(TimerFired(item))
+            elif not item.answered and not item.started:
+                # The client gets an answer before its deadline whatever the decision module does.
+                self._finish(item, FinalAnswer(Outcome.FAILED, Cause.DEADLINE, item.may_have_run()))
+                self._abandon(item)
 
     def _decide(self, events: list[Event]) -> None:
         try:
-            began = trio.current_time()
-            actions = self._gateway.handle(began + self._epoch, events)
-            self._pace.decided(events, trio.current_time() - began)
-        except Exception as error:  # a fault in the decisions must not take the open streams with it
+            began_at = trio.current_time()
+            actions = self._gateway.handle(began_at + self._epoch, events)
+            self._stats.record_batch(events, trio.current_time() - began_at)
+        except Exception as error:  # an error in the decision module must not break the open streams
             self._module_failed = True
-            self._log("err", "MODULE", "the module failed", error=f"{type(error).__name__}: {error}")
+            self._log("err", "MODULE", "the decision module failed", error=f"{type(error).__name__}: {error}")
             for event in events:
                 if isinstance(event, RequestArrived | AttemptEnded) and event.request in self.open_rpcs:
-                    self._give_up(self.open_rpcs[event.request], FinalAnswer(Outcome.FAILED))
+                    self._fail(self.open_rpcs[event.request], FinalAnswer(Outcome.FAILED))
                 elif isinstance(event, ClientGone):
-                    self._gone.pop(event.request, None)
+                    self._abandoned.pop(event.request, None)
                 elif isinstance(event, ReplicaList) and len(events) > 1:
-                    self._mailbox.post(event)  # a list lost with its batch would be missed for good
+                    # Retried alone: otherwise the list would be lost for good with its batch.
+                    self._mailbox.post(event)
             return
-        self._carry_out(actions)
+        self._execute(actions)
         for event in events:
             if isinstance(event, ClientGone):
-                self._gone.pop(event.request, None)
+                self._abandoned.pop(event.request, None)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Send(request, replica, timeout_s):
@@ -388,11 +409,11 @@
                     if subchannel is None or not subchannel.ready:
                         self._mailbox.post(ProbeEnded(replica, Status.NOT_SENT, 0.0))
                     else:
-                        self._order(subchannel, Probing())
+                        self._order(subchannel, StartProbe())
                 case Subscribe():
-                    pass  # the resolver watches by its own clock; two that ask make twice a fleet's calls
+                    pass  # the resolver has its own schedule; a second one would double discovery's load
                 case TellPeers():
-                    pass  # no platform that this program serves lets routers talk
+                    pass  # no supported platform lets routers exchange messages
 
     def _start(self, request: str, replica: int, timeout_s: float) -> None:
         entry = self.open_rpcs.get(request)
@@ -402,30 +423,30 @@
         number = len(entry.attempts)
         subchannel = self.subchannels.get(replica)
         ready = subchannel is not None and subchannel.ready
-        denied = may_begin(answered=entry.answered, others_in_flight=entry.in_flight, server_ready=ready)
-        if subchannel is None or denied is not None:  # the list may have changed under the module
+        denial = may_begin(answered=entry.answered, others_in_flight=entry.in_flight, server_ready=ready)
+        if subchannel is None or denial is not None:  # the list may have changed since the decision
             entry.attempts.append(None)
             entry.statuses.append(Status.NOT_SENT)
             self._mailbox.post(AttemptEnded(request, number, replica, Status.NOT_SENT, 0.0, False))
             return
-        left = entry.rpc.expires_at - trio.current_time()
-        wait = min(timeout_s, left) if timeout_s > 0 else left
+        remaining_s = entry.rpc.expires_at - trio.current_time()
+        attempt_timeout_s = min(timeout_s, remaining_s) if timeout_s > 0 else remaining_s
         attempt = Attempt(
             entry.rpc,
             number,
             subchannel,
-            wait,
-            self._attempt_began,
-            self._wanted,
+            attempt_timeout_s,
+            self._on_first_event,
+            self._check_client,
             self._send_by(entry),
-            self._attempt_written,
+            self._on_attempt_written,
         )
         entry.attempts.append(attempt)
         entry.in_flight += 1
         self._order(subchannel, Start(attempt))
 
-    def _order(self, subchannel: Subchannel, order: Start | Probing) -> None:
-        """Post an order; a subchannel's actor runs from its first one on."""
+    def _order(self, subchannel: Subchannel, order: Start | StartProbe) -> None:
+        """Send an order to a subchannel and start its actor if this is the first one."""
         if not subchannel.running:
             subchannel.running = True
             if self._nursery is not None:
@@ -433,10 +454,10 @@
         subchannel.post(order)
 
     def _send_by(self, entry: OpenRPC) -> float:
-        """Until when a further attempt may be written.
+        """Return the latest time at which a further attempt may be written.
 
-        Servers discard repeats of a keyed request for the time in the settings, from the first attempt on
-        that may have run.
+        Servers discard repeats of a keyed request within the deduplication window of the settings, which
+        starts with the first attempt that may have run.
         """
         rpc_class = self.classes[entry.rpc.rpc_class]
         if entry.first_run_at is None or rpc_class.effect is not Effect.KEYED:
@@ -444,27 +465,28 @@
         return write_until(entry.first_run_at, rpc_class.dedup_window_s)
 
     def _report_unsent_attempt(self, request: str, replica: int) -> None:
-        """The module decided this attempt in the batch in which it heard that nobody waits. Guards its count
-        of what is out: without a word of the end, the replica would look busy for ever.
+        """Report the end of an attempt that was decided before the RPC's ClientGone was processed.
+
+        Without this event the decision module would count the attempt as in flight for ever.
         """
-        number = self._gone.get(request)
+        number = self._abandoned.get(request)
         if number is not None:
-            self._gone[request] = number + 1
+            self._abandoned[request] = number + 1
             self._mailbox.post(AttemptEnded(request, number, replica, Status.NOT_SENT, 0.0, True))
 
     def _cancel(self, request: str, number: int) -> None:
         entry = self.open_rpcs.get(request)
         attempt = entry.attempts[number] if entry is not None and number < len(entry.attempts) else None
         if attempt is not None and not attempt.started:
-            attempt.give_up(Status.CANCELLED)
+            attempt.abort(Status.CANCELLED)
 
     def _end(self, request: str, outcome: Outcome, retry_after_s: float) -> None:
         entry = self.open_rpcs.get(request)
         if entry is not None:
-            self._give_up(entry, FinalAnswer(outcome, retry_after_s=retry_after_s))
+            self._fail(entry, FinalAnswer(outcome, retry_after_s=retry_after_s))
 
-    def _give_up(self, entry: OpenRPC, final: FinalAnswer) -> None:
-        """The module has ended it: the client hears at once."""
+    def _fail(self, entry: OpenRPC, final: FinalAnswer) -> None:
+        """Answer an RPC that the decision module refused or failed, with the cause that applies."""
         if entry.answered:
             return
         if trio.current_time() >= entry.rpc.expires_at:
@@ -477,7 +499,7 @@
         self._remove_if_complete(entry)
 
     def _finish(self, entry: OpenRPC, final: FinalAnswer, reason: str = "") -> None:
-        self.audit.answered(
+        self.audit.check_answered(
             entry.rpc.key,
             trio.current_time(),
             again=entry.answered,
@@ -486,7 +508,7 @@
             outcome=final.outcome,
         )
         entry.answered = True
-        entry.rpc.payload = None  # the deadline's timer keeps the entry for a while
+        entry.rpc.payload = None  # the deadline's timer keeps a reference to the entry
         entry.rpc.sink.finish(final)
         if final.outcome is not Outcome.SERVED:
             self._log(
--- a/sorreldock/routing/mailbox.py
+++ b/sorreldock/routing/mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox of the decision actor: two lanes, so that requests hold up nothing that is owed at once."""
+"""The mailbox of the decision actor, in which other events overtake new requests."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 
 from ..interface import Event, ListKind, ReplicaList, RequestArrived
 
-ENTRIES_AT_ONCE = 256  # of a list: a longer one is decided on in parts, between which others have their turn
+# Longer server lists are passed to the decision module in parts, so that other tasks run in between.
+MAX_LIST_ENTRIES = 256
 
 
 class DecisionMailbox:
-    """Events for the decision module, requests behind all others; in each lane in the order of their coming.
+    """A queue of events for the decision module that delivers new requests after all other events.
 
-    Bounded by the open RPCs, whose number is, and by what subchannels and the resolver may have out.
+    New requests and other events are each kept in order of arrival. The length is bounded by the limit on
+    open RPCs and by the events that subchannels and the resolver may have pending.
     """
 
     def __init__(self) -> None:
-        self._urgent: deque[Event] = deque()  # ends, first tokens, lists, probes, timers
+        self._urgent: deque[Event] = deque()  # ended attempts, first tokens, lists, probes, timers
         self._requests: deque[RequestArrived] = deque()
         self._arrived = trio.Event()
 
@@ -26,44 +28,45 @@
         return len(self._urgent) + len(self._requests)
 
     def post(self, event: Event) -> None:
-        """Put an event into its lane."""
+        """Append an event to its queue."""
         if isinstance(event, RequestArrived):
             self._requests.append(event)
-        elif isinstance(event, ReplicaList) and len(event.entries) > ENTRIES_AT_ONCE:
-            self._urgent.extend(_in_parts(event))
+        elif isinstance(event, ReplicaList) and len(event.entries) > MAX_LIST_ENTRIES:
+            self._urgent.extend(_split(event))
         else:
             self._urgent.append(event)
         self._arrived.set()
 
     async def wait(self) -> None:
-        """Wait until something is in it."""
+        """Wait until the mailbox holds an event."""
         while not len(self):
             self._arrived = trio.Event()
             await self._arrived.wait()
 
-    def take(self, most: int) -> list[Event]:
-        """Take out up to so many events, or one request where there is nothing else.
+    def take(self, max_events: int) -> list[Event]:
+        """Remove and return up to `max_events` events, or one new request if there are no others.
 
-        What costs most ends a batch: a change to the list, and each request.
+        A server list ends its batch and each new request is a batch of its own, since these take the longest
+        to process.
         """
-        taken: list[Event] = []
-        while self._urgent and len(taken) < most:
+        batch: list[Event] = []
+        while self._urgent and len(batch) < max_events:
             event = self._urgent.popleft()
-            taken.append(event)
+            batch.append(event)
             if isinstance(event, ReplicaList):
-                return taken
-        if not taken and self._requests:
-            taken.append(self._requests.popleft())
-        return taken
+                return batch
+        if not batch and self._requests:
+            batch.append(self._requests.popleft())
+        return batch
 
 
-def _in_parts(event: ReplicaList) -> list[ReplicaList]:
-    """Cut a list into a shorter one and changes to that."""
+def _split(event: ReplicaList) -> list[ReplicaList]:
+    """Split a list into a shorter list and changes to it."""
     return [
         ReplicaList(
             ListKind.DELTA if first else event.kind,
-            event.entries[first : first + ENTRIES_AT_ONCE],
+            event.entries[first : first + MAX_LIST_ENTRIES],
             event.version,
         )
-        for first in range(0, len(event.entries), ENTRIES_AT_ONCE)
+        for first in range(0, len(event.entries), MAX_LIST_ENTRIES)
     ]
--- a/sorreldock/routing/open_rpc.py
+++ b/sorreldock/routing/open_rpc.py
@@ -1,4 +1,4 @@
-"""An entry of the table of open RPCs."""
+"""The entries of the table of open RPCs."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from .subchannel import Attempt
 from .types import RPC
 
+# Results of attempts that no server has run.
 NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NO_LISTENER, Status.NOT_SENT)
 
 
 class OpenRPC:
-    """An RPC from its arrival to its one final answer, and until its last attempt has ended."""
+    """The state of an RPC, kept until it is answered and its last attempt has ended."""
 
     __slots__ = ("answered", "arrived_at", "attempts", "first_run_at", "in_flight", "rpc", "statuses")
 
     def __init__(self, rpc: RPC) -> None:
         self.rpc = rpc
         self.arrived_at = trio.current_time()
-        self.attempts: list[Attempt | None] = []
+        self.attempts: list[Attempt | None] = []  # by number; None once an attempt has ended
         self.in_flight = 0
         self.statuses: list[Status] = []
-        self.first_run_at: float | None = None  # when the first attempt was made that may have run
+        self.first_run_at: float | None = (
+            None  # creation time of the first ended attempt that a server may have run
+        )
         self.answered = False
 
     @property
--- a/sorreldock/routing/pace.py
+++ b/sorreldock/routing/pace.py
@@ -1,4 +1,4 @@
-"""How long decisions take and how many events wait for one: counted here, told in the log once a second."""
+"""Statistics on the time that decisions take, and limits on how long a request waits for one."""
 
 from __future__ import annotations
 
@@ -8,66 +8,68 @@
 from ..hashing import MASK, key_of
 from ..interface import Event, Limits
 
-LONG_S = 0.01  # a batch that held the event loop for longer is worth a record
-TELL_EVERY_S = 1.0
-# A request may wait for its decision so long, or this share of its time: later too little would be left.
-LONGEST_WAIT_S = 0.25
-WAIT_SHARE = 0.2
-PAUSE_S = (0.25, 1.0)  # advice for those that waited in vain, spread lest they return together
+LONG_BATCH_S = 0.01  # a batch that blocks the event loop for longer is reported in the log
+SUMMARY_INTERVAL_S = 1.0
+# A request may wait for its decision for at most this long and this share of its time budget; after a longer
+# wait too little time would be left to serve it.
+MAX_WAIT_S = 0.25
+MAX_WAIT_SHARE = 0.2
+# Advice for requests that waited too long, spread so that their retries don't coincide.
+RETRY_AFTER_RANGE_S = (0.25, 1.0)
 
 
-def waits_too_long(waited_s: float, time_s: float) -> bool:
-    """Whether a request that has waited so long for its decision, of so much time, is to be refused."""
-    return waited_s > min(LONGEST_WAIT_S, WAIT_SHARE * time_s)
+def waits_too_long(waited_s: float, budget_s: float) -> bool:
+    """Return whether a request has waited too long for its decision, so that it must be refused."""
+    return waited_s > min(MAX_WAIT_S, MAX_WAIT_SHARE * budget_s)
 
 
-def advice_s(limits: Limits, request: str) -> float:
-    """Return when a refused client is to come again; 0 where the settings allow no advice."""
+def retry_after_s(limits: Limits, request: str) -> float:
+    """Return the delay after which a refused client should retry; 0 if the settings allow no such advice."""
     if not limits.retry_advice:
         return 0.0
-    least, most = PAUSE_S
-    return min(least + (most - least) * key_of(request) / MASK, limits.max_retry_after_s)
+    shortest, longest = RETRY_AFTER_RANGE_S
+    return min(shortest + (longest - shortest) * key_of(request) / MASK, limits.max_retry_after_s)
 
 
 @dataclass(slots=True)
-class _Span:
-    """What has been counted since the last record."""
+class _Interval:
+    """The counts since the last summary."""
 
     batches: int = 0
     long_batches: int = 0
-    most_events: int = 0
+    max_events: int = 0
     longest_s: float = 0.0
     longest_with: str = ""
 
 
-class DecisionPace:
-    """Counts batches of events; `summary` is due only when one of them was long."""
+class DecisionStats:
+    """Statistics on batches of events, summed up only for intervals with a long batch."""
 
     def __init__(self, now: float) -> None:
-        self._told_at = now
-        self._span = _Span()
-
-    def decided(self, events: Sequence[Event], took_s: float) -> None:
-        """Count a batch that took so long."""
-        span = self._span
-        span.batches += 1
-        span.long_batches += took_s > LONG_S
-        span.most_events = max(span.most_events, len(events))
-        if took_s > span.longest_s:
-            span.longest_s = took_s
-            span.longest_with = " ".join(sorted({type(event).__name__ for event in events}))
+        self._interval_began_at = now
+        self._interval = _Interval()
+
+    def record_batch(self, events: Sequence[Event], took_s: float) -> None:
+        """Count a batch of events and its processing time."""
+        interval = self._interval
+        interval.batches += 1
+        interval.long_batches += took_s > LONG_BATCH_S
+        interval.max_events = max(interval.max_events, len(events))
+        if took_s > interval.longest_s:
+            interval.longest_s = took_s
+            interval.longest_with = " ".join(sorted({type(event).__name__ for event in events}))
 
     def summary(self, now: float) -> dict[str, object] | None:
-        """Return the fields of a record, if one is due."""
-        if now - self._told_at < TELL_EVERY_S:
+        """Return the fields of the log record and start a new interval; None while no record is due."""
+        if now - self._interval_began_at < SUMMARY_INTERVAL_S:
             return None
-        span, self._span, self._told_at = self._span, _Span(), now
-        if not span.long_batches:
+        interval, self._interval, self._interval_began_at = self._interval, _Interval(), now
+        if not interval.long_batches:
             return None
         return {
-            "batches": span.batches,
-            "long": span.long_batches,
-            "most_events": span.most_events,
-            "longest_s": round(span.longest_s, 4),
-            "longest_with": span.longest_with,
+            "batches": interval.batches,
+            "long": interval.long_batches,
+            "most_events": interval.max_events,
+            "longest_s": round(interval.longest_s, 4),
+            "longest_with": interval.longest_with,
         }
--- a/sorreldock/routing/permissions.py
+++ b/sorreldock/routing/permissions.py
@@ -1,10 +1,9 @@
-"""The one place that decides whether something may be started, written or closed now, and that checks it
-after.
+"""Rules on whether an attempt may be started or written now, and an audit that checks them at run time.
 
-The decisions are pure: what they need comes as arguments, a look at the client last, since a program may be
-held up between reading its clock and writing. Whether a request may be repeated at another server is the
-module's decision (`Gateway.permitted`); how long that holds is `send_by` here. `Audit` counts what happened
-against these rules.
+The rules are pure functions of their arguments. The client's connection is checked last, since the process
+may be delayed between reading its clock and writing. The decision module decides whether a request may be
+repeated at another server (`Gateway.permitted`); `send_by` bounds the time for which that permission holds.
+`Audit` counts violations of the rules.
 """
 
 from __future__ import annotations
@@ -15,40 +14,41 @@
 
 from .types import Log, Outcome
 
-HELD_UP_S = 0.15  # by which the program may be held up between its clock and a write
-# What is new to a server so long after the notice of its end breaks the rule, whatever a deployment grants.
-LONGEST_GRACE_S = 0.25
-GRACE_SHARE = 0.8  # of what is left of that, for requests on their way; the rest is for the wire
-ANSWER_LATE_S = 0.5  # after its time an answer only earns nothing; later it is lost
-SENT_LATE_S = 0.1  # by which an attempt may be written after its time, with a hold-up
+SCHEDULING_DELAY_S = 0.15  # the process may be delayed by this much between reading its clock and a write
+# A request that reaches a server later than this after its drain notice violates the drain rule, even if the
+# settings grant a longer grace period.
+MAX_DRAIN_GRACE_S = 0.25
+GRACE_WRITE_SHARE = 0.8  # of the remaining grace period, for finishing writes; the rest is for the network
+ANSWER_TOLERANCE_S = 0.5  # an answer late by less than this has only no value; a later one counts as lost
+WRITE_TOLERANCE_S = 0.1  # a delayed process may write an attempt this long after its deadline
 
 
 class Denial(Enum):
-    """Why something may not be done now."""
+    """The reason why an attempt may not be started or written now."""
 
-    ANSWERED = "the RPC has its answer"
-    ANOTHER_OUT = "another attempt is out"
-    NOT_READY = "the server drains or is not listed"
-    GIVEN_UP = "the attempt was given up"
-    WINDOW_OVER = "the window for repeats is over"
-    EXPIRED = "its time is over"
-    CLIENT_LEFT = "the client has left"
+    ANSWERED = "the RPC is already answered"
+    ANOTHER_OUT = "another attempt is in flight"
+    NOT_READY = "the server is draining or not listed"
+    GIVEN_UP = "the attempt was cancelled"
+    WINDOW_OVER = "the server's deduplication window has ended"
+    EXPIRED = "the deadline has passed"
+    CLIENT_LEFT = "the client has disconnected"
 
 
 class Rule(Enum):
-    """What must not be seen to happen."""
+    """A rule that the audit checks; the value is the text of the log record on its violation."""
 
-    TWO_OUT = "two attempts of an RPC are out at once"
-    SENT_ANSWERED = "an attempt was written after its RPC's answer"
-    SENT_EXPIRED = "an attempt was written after its time"
-    SENT_DRAINED = "an attempt was written after the grace of its server's drain"
+    TWO_OUT = "two attempts of an RPC are in flight at the same time"
+    SENT_ANSWERED = "an attempt was written after its RPC was answered"
+    SENT_EXPIRED = "an attempt was written after its deadline"
+    SENT_DRAINED = "an attempt was written after the grace period of its server's drain"
     ANSWERED_TWICE = "an RPC was answered twice"
-    ANSWERED_LATE = "an RPC was answered later than its client waits"
-    CLOSED_OWING = "a connection was closed with an answer owed"
+    ANSWERED_LATE = "an RPC was answered after its client's deadline"
+    CLOSED_OWING = "a connection was closed before its answer was written"
 
 
 def may_begin(*, answered: bool, others_in_flight: int, server_ready: bool) -> Denial | None:
-    """Decide whether an attempt may be started: None, or why not."""
+    """Return None if an attempt may be started, else the reason against it."""
     if answered:
         return Denial.ANSWERED
     if others_in_flight:
@@ -58,51 +58,54 @@
 
 def may_write(
     *,
-    given_up: bool,
+    aborted: bool,
     server_ready: bool,
     now: float,
     expires_at: float,
     send_by: float,
-    client_there: Callable[[], bool],
+    client_present: Callable[[], bool],
 ) -> Denial | None:
-    """Decide whether an attempt's first byte may be written: None, or why not."""
-    if given_up:
+    """Return None if the first byte of an attempt may be written, else the reason against it."""
+    if aborted:
         return Denial.GIVEN_UP
-    if not server_ready:  # an attempt that was dialling when its server began to drain
+    if not server_ready:  # the server began to drain while the attempt was connecting
         return Denial.NOT_READY
     if now >= expires_at:
         return Denial.EXPIRED
-    if now > send_by:  # servers discard a repeat for so long, and dialling has taken a part of that
+    if now > send_by:  # connecting used up the rest of the servers' deduplication window
         return Denial.WINDOW_OVER
-    return None if client_there() else Denial.CLIENT_LEFT
+    return None if client_present() else Denial.CLIENT_LEFT
 
 
 def time_to_finish_writing(drain_grace_s: float) -> float:
-    """Return for how long after the notice of a server's end a request may still be written to its end."""
-    return GRACE_SHARE * max(min(drain_grace_s, LONGEST_GRACE_S) - HELD_UP_S, 0.0)
+    """Return how long after a server's drain notice the writing of a request may still continue."""
+    return GRACE_WRITE_SHARE * max(min(drain_grace_s, MAX_DRAIN_GRACE_S) - SCHEDULING_DELAY_S, 0.0)
 
 
 def write_until(first_run_at: float, window_s: float) -> float:
-    """Return until when a keyed request may be repeated whose first attempt that may have run began then."""
-    return first_run_at + max(window_s - HELD_UP_S, 0.0)
+    """Return the latest time at which an attempt that repeats a keyed request may be written.
+
+    `first_run_at` is the creation time of the first attempt that a server may have run.
+    """
+    return first_run_at + max(window_s - SCHEDULING_DELAY_S, 0.0)
 
 
 class Audit:
-    """Checks at run time what was done, and counts and logs what broke a rule."""
+    """Run-time checks of the rules, which count and log violations."""
 
     def __init__(self, log: Log) -> None:
         self._log = log
         self.violations: Counter[Rule] = Counter()
 
-    def expect(self, kept: bool, rule: Rule, rpc: str, **data: object) -> None:
-        """Note a break of the rule unless it was kept."""
-        if not kept:
+    def check(self, holds: bool, rule: Rule, rpc: str, **data: object) -> None:
+        """Count and log a violation of the rule unless it holds."""
+        if not holds:
             self.violations[rule] += 1
             self._log(
                 "err", "VIOLATION", rule.value, rule=rule.name, rpc=rpc, count=self.violations[rule], **data
             )
 
-    def written(
+    def check_written(
         self,
         rpc: str,
         now: float,
@@ -112,17 +115,17 @@
         expires_at: float,
         drained_at: float | None,
     ) -> None:
-        """Check an attempt whose last byte was written now."""
-        self.expect(in_flight <= 1, Rule.TWO_OUT, rpc, out=in_flight)
-        self.expect(not answered, Rule.SENT_ANSWERED, rpc)
-        self.expect(now <= expires_at + SENT_LATE_S, Rule.SENT_EXPIRED, rpc, late_s=now - expires_at)
+        """Check the rules for an attempt whose last byte was written at `now`."""
+        self.check(in_flight <= 1, Rule.TWO_OUT, rpc, out=in_flight)
+        self.check(not answered, Rule.SENT_ANSWERED, rpc)
+        self.check(now <= expires_at + WRITE_TOLERANCE_S, Rule.SENT_EXPIRED, rpc, late_s=now - expires_at)
         drained_s = 0.0 if drained_at is None else now - drained_at
-        self.expect(drained_s <= LONGEST_GRACE_S, Rule.SENT_DRAINED, rpc, after_s=drained_s)
+        self.check(drained_s <= MAX_DRAIN_GRACE_S, Rule.SENT_DRAINED, rpc, after_s=drained_s)
 
-    def answered(
+    def check_answered(
         self, rpc: str, now: float, *, again: bool, begun: bool, expires_at: float, outcome: Outcome
     ) -> None:
-        """Check a final answer that is given now."""
-        self.expect(not again, Rule.ANSWERED_TWICE, rpc)
-        in_time = begun or outcome is Outcome.GONE or now <= expires_at + ANSWER_LATE_S
-        self.expect(in_time, Rule.ANSWERED_LATE, rpc, late_s=now - expires_at)
+        """Check the rules for an RPC that gets its final answer at `now`."""
+        self.check(not again, Rule.ANSWERED_TWICE, rpc)
+        in_time = begun or outcome is Outcome.GONE or now <= expires_at + ANSWER_TOLERANCE_S
+        self.check(in_time, Rule.ANSWERED_LATE, rpc, late_s=now - expires_at)
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -1,4 +1,4 @@
-"""The listed servers and their subchannels, kept as discovery's results say."""
+"""The table of listed servers and their subchannels, updated from resolver results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServerTable:
-    """A subchannel for each listed server; none of them runs before its first order."""
+    """The subchannels of all listed servers; each one's actor starts with its first order."""
 
     def __init__(
         self,
@@ -23,19 +23,21 @@
     ) -> None:
         self.subchannels: dict[int, Subchannel] = {}
         self._connect = connect
-        self._probed_with = probe_protocol
+        self._probe_protocol = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._drain_grace_s = drain_grace_s
 
-    def apply(self, result: ResolverResult, tell_all: bool) -> ReplicaList | None:
-        """Let the subchannels follow a result; returns what the decisions are to hear of it, if anything.
+    def apply(self, result: ResolverResult, send_all: bool) -> ReplicaList | None:
+        """Update the subchannels and return the change for the decision module, or None if there is none.
 
-        Of a list that is known already only what differs goes on: a whole list of thousands would hold up the
-        decisions each time that a watch is opened. `tell_all`: they may have missed something.
+        Only entries that differ from the known ones are returned: a whole list of thousands of servers would
+        delay decisions each time a watch is opened. With `send_all` all entries are returned, for a decision
+        module that may have missed a change.
         """
-        known = bool(self.subchannels) and not tell_all
-        numbers = [key_of(target.uid) for target in result.targets]  # alike at every router, for the draw
+        known = bool(self.subchannels) and not send_all
+        # The same on every router, since the draw depends on it.
+        numbers = [key_of(target.uid) for target in result.targets]
         entries = self._drop_unlisted(set(numbers)) if result.kind is not ListKind.DELTA else []
         for number, target in zip(numbers, result.targets, strict=True):
             subchannel = self.subchannels.get(number)
@@ -49,9 +51,9 @@
         return ReplicaList(ListKind.DELTA if known else result.kind, tuple(entries), result.version)
 
     def _drop_unlisted(self, listed: set[int]) -> list[ReplicaEntry]:
-        gone = [number for number in self.subchannels if number not in listed]
-        entries = [_entry(number, self.subchannels[number].target) for number in gone]
-        for number in gone:
+        unlisted = [number for number in self.subchannels if number not in listed]
+        entries = [_entry(number, self.subchannels[number].target) for number in unlisted]
+        for number in unlisted:
             self._remove(number)
         return [replace(entry, state=ReplicaState.GONE) for entry in entries]
 
@@ -68,7 +70,7 @@
                 number,
                 target,
                 self._connect,
-                self._probed_with,
+                self._probe_protocol,
                 self._on_ended,
                 self._on_probed,
                 self._drain_grace_s,
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -1,4 +1,4 @@
-"""The actor of one engine: it starts, cancels and ends the call attempts that go there."""
+"""The actor of one server, which runs the attempts and probes there."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import trio
 
 from ..interface import Status
-from .permissions import LONGEST_GRACE_S, Denial, may_write, time_to_finish_writing
+from .permissions import MAX_DRAIN_GRACE_S, Denial, may_write, time_to_finish_writing
 from .types import RPC, AttemptResult, ServerClient, ServerClientFactory, SinkClosed, Target
 
 
 class Attempt:
-    """One attempt of an RPC at one engine."""
+    """One attempt of an RPC at one server."""
 
     def __init__(
         self,
@@ -22,42 +22,42 @@
         number: int,
         subchannel: Subchannel,
         timeout_s: float,
-        on_first: FirstEventCallback,
-        wanted: ClientCheck,
+        on_first_event: FirstEventCallback,
+        is_client_present: ClientCheck,
         send_by: float = math.inf,
         on_written: WrittenCallback | None = None,
     ) -> None:
         self.rpc = rpc
         self.number = number
         self.subchannel = subchannel
-        self.made_at = trio.current_time()
-        self.scope = trio.CancelScope(deadline=self.made_at + timeout_s)
+        self.created_at = trio.current_time()
+        self.scope = trio.CancelScope(deadline=self.created_at + timeout_s)
         self.sending = False
         self.written = False
         self.started = False
-        self.first_s = 0.0
-        self.given_up: Status | None = None  # why the router stopped it, if it did
-        self._on_first = on_first
-        self._wanted = wanted
+        self.first_event_s = 0.0
+        self.abort_status: Status | None = None  # why the router aborted it, if it did
+        self._on_first_event = on_first_event
+        self._is_client_present = is_client_present
         self._send_by = send_by
         self._on_written = on_written
-        self._wait_s = 0.0
-        self.denied: Denial | None = None  # why it was not written
+        self._first_event_timeout_s = 0.0
+        self.denial: Denial | None = None  # why it was not written
 
     def may_send(self) -> bool:
-        # The clock is read before the look at the client, and not again until the write: a program that is
-        # held up behind a look at its clock must not act on an older look at the client.
+        # The clock is read before the client's connection is checked, and not again until the write: a
+        # process that is delayed after reading its clock must not act on an older state of the client.
         now = trio.current_time()
-        self._wait_s = max(self.scope.deadline - now, 0.0)
-        self.denied = may_write(
-            given_up=self.given_up is not None,
+        self._first_event_timeout_s = max(self.scope.deadline - now, 0.0)
+        self.denial = may_write(
+            aborted=self.abort_status is not None,
             server_ready=self.subchannel.ready,
             now=now,
             expires_at=self.scope.deadline,
             send_by=self._send_by,
-            client_there=lambda: self._wanted(self.rpc),
+            client_present=lambda: self._is_client_present(self.rpc),
         )
-        self.sending = self.denied is None
+        self.sending = self.denial is None
         return self.sending
 
     def mark_written(self) -> None:
@@ -66,55 +66,57 @@
             self._on_written(self)
 
     def first_event_timeout_s(self) -> float:
-        return self._wait_s
+        return self._first_event_timeout_s
 
     async def forward_event(self, data: bytes) -> None:
         if not self.started:
-            # Too late: the core has given the final answer, or the deadline fired in the moment in which this
-            # came. Guards the client: its answer would begin and be cut off by that very deadline.
-            if self.given_up is not None or self.scope.cancel_called:
+            # Too late if the core has given the final answer already, or the deadline expired in the same
+            # step in which this event arrived: the client's answer would begin and be cut off by that
+            # deadline.
+            if self.abort_status is not None or self.scope.cancel_called:
                 raise SinkClosed
             self.started = True
             self.scope.deadline = math.inf  # once an answer has begun, it has no deadline
-            self._on_first(self)
+            self._on_first_event(self)
         await self.rpc.sink.send_event(data)
 
-    def give_up(self, status: Status) -> None:
-        if self.given_up is None:
-            self.given_up = status
+    def abort(self, status: Status) -> None:
+        """Cancel the attempt, with the status to report unless it has been aborted before."""
+        if self.abort_status is None:
+            self.abort_status = status
             self.scope.cancel()
 
 
 FirstEventCallback = Callable[[Attempt], None]
 WrittenCallback = Callable[[Attempt], None]
-ClientCheck = Callable[[RPC], bool]  # whether its client is still there
+ClientCheck = Callable[[RPC], bool]  # whether the client is still connected
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Order to start a call attempt."""
+    """Order to start an attempt."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Probing:
-    """Order to probe the engine."""
+class StartProbe:
+    """Order to probe the server."""
 
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """Order to heed a change to the engine's entry in the list."""
+    """Order to apply a change to the server's list entry."""
 
     ready: bool
     restarted: bool
 
 
-Order = Start | Probing | Update
+Order = Start | StartProbe | Update
 
 
 class Subchannel:
-    """The actor of one engine."""
+    """The actor of one server."""
 
     def __init__(
         self,
@@ -124,26 +126,29 @@
         probe_protocol: str,
         on_ended: AttemptCallback,
         on_probed: ProbeCallback,
-        drain_grace_s: float = LONGEST_GRACE_S,
+        drain_grace_s: float = MAX_DRAIN_GRACE_S,
     ) -> None:
         self.number = number
         self.target = target
         self._ready = True
-        self.drained_at: float | None = None  # when it was told to take no more
-        self.running = False  # its actor: from its first order on, since most of a large fleet is never used
+        self.drained_at: float | None = None  # when it last stopped being ready
+        # Whether the actor runs. It starts with the first order, since most servers of a large fleet are
+        # never used.
+        self.running = False
         self._connect = connect
         self._clients: dict[str, ServerClient] | None = None
-        self._probed_with = probe_protocol
+        self._probe_protocol = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
         self._finish_writing_s = time_to_finish_writing(drain_grace_s)
         self._in_flight: dict[Attempt, None] = {}
-        # Orders come from the module alone, so their number is bounded by the open RPCs and its probes.
+        # Unbounded, since orders come from the decision module alone: its probes and the open RPCs bound
+        # their number.
         self._channel: tuple[trio.MemorySendChannel[Order], trio.MemoryReceiveChannel[Order]] | None = None
 
     @property
     def ready(self) -> bool:
-        """Whether it takes work, as the list says."""
+        """Whether the server takes new requests, according to the list."""
         return self._ready
 
     @ready.setter
@@ -154,7 +159,7 @@
 
     @property
     def clients(self) -> dict[str, ServerClient]:
-        """Its clients by protocol, made when they are first asked for."""
+        """The clients of this server by protocol, created at first use."""
         if self._clients is None:
             self._clients = self._connect(self.target.endpoint)
         return self._clients
@@ -170,12 +175,12 @@
         return len(self._in_flight)
 
     def post(self, order: Order) -> None:
-        """Give the actor an order. One that does not run has nothing that a change could concern."""
+        """Send the actor an order; an Update is dropped if it does not run, since it affects no attempt."""
         if self.running or not isinstance(order, Update):
             self._orders[0].send_nowait(order)
 
     def retire(self) -> None:
-        """No further orders: the actor ends when its attempts have."""
+        """Accept no further orders: the actor ends after its last attempt."""
         if self.running:
             self._orders[0].close()
 
@@ -187,7 +192,7 @@
     async def run(self) -> None:
         try:
             await self._process_orders()
-        finally:  # told to end, or the program ends: nothing idle stays open
+        finally:  # retired, or the program ends: close all idle connections
             for client in self.clients.values():
                 client.discard()
 
@@ -197,14 +202,14 @@
                 match order:
                     case Start(attempt):
                         self._in_flight[attempt] = None
-                        attempts.start_soon(self._attempt, attempt)
-                    case Probing():
-                        attempts.start_soon(self._probe)
+                        attempts.start_soon(self._run_attempt, attempt)
+                    case StartProbe():
+                        attempts.start_soon(self._run_probe)
                     case Update(ready, restarted):
                         if not ready:
                             for attempt in self._in_flight:
                                 if not attempt.sending:
-                                    attempt.give_up(Status.NOT_SENT)
+                                    attempt.abort(Status.NOT_SENT)
                             if self._unwritten():
                                 attempts.start_soon(self._stop_writing)
                         if restarted or not ready:
@@ -215,53 +220,56 @@
         return [attempt for attempt in self._in_flight if not attempt.written]
 
     async def _stop_writing(self) -> None:
-        """Guards the drain rule: a request whose bytes still go out has not run, and counts with its last
-        one. What is not written soon after the notice goes elsewhere.
+        """Abort the attempts whose requests are not fully written soon after a drain notice.
+
+        The drain rule applies to the time at which a request's last byte is written; until then the server
+        has not run it, so it can be sent to another one.
         """
-        begun = self._unwritten()
+        unwritten = self._unwritten()
         await trio.sleep(self._finish_writing_s)
         if not self.ready:
-            for attempt in begun:
+            for attempt in unwritten:
                 if attempt in self._in_flight and not attempt.written:
-                    attempt.give_up(Status.NOT_SENT)
+                    attempt.abort(Status.NOT_SENT)
 
-    async def _attempt(self, attempt: Attempt) -> None:
-        report = None
+    async def _run_attempt(self, attempt: Attempt) -> None:
+        result = None
         client = self.clients.get(attempt.rpc.protocol)
         try:
             with attempt.scope:
                 if client is None:
-                    report = AttemptResult(Status.NOT_SENT, note="engine speaks another protocol")
-                elif attempt.given_up is None:
-                    report = await client.call(attempt.rpc, attempt)
+                    result = AttemptResult(Status.NOT_SENT, note="server does not support the protocol")
+                elif attempt.abort_status is None:
+                    result = await client.call(attempt.rpc, attempt)
         except SinkClosed:
-            late = attempt.scope.cancel_called and attempt.given_up is None
-            report = (
-                AttemptResult(Status.TIMEOUT) if late else AttemptResult(Status.CANCELLED, note="client gone")
+            late = attempt.scope.cancel_called and attempt.abort_status is None
+            result = (
+                AttemptResult(Status.TIMEOUT)
+                if late
+                else AttemptResult(Status.CANCELLED, note="client disconnected")
             )
-        except Exception as error:  # whatever a peer may provoke must not end the program
-            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
+        except Exception as error:  # no behaviour of a peer may end the program
+            result = AttemptResult(Status.RESET, note=f"fault in the server client: {error!r}")
         finally:
             self._in_flight.pop(attempt, None)
-        if report is None:
-            status = attempt.given_up or Status.TIMEOUT
-            if status is Status.NOT_SENT and attempt.written:  # its last byte went out in the same moment
+        if result is None:
+            status = attempt.abort_status or Status.TIMEOUT
+            if status is Status.NOT_SENT and attempt.written:  # its last byte was written in the same step
                 status = Status.CANCELLED
-            report = AttemptResult(status)
-        if report.status is Status.NOT_SENT and attempt.denied is not None:
-            report = replace(report, note=attempt.denied.value)
-        self._on_ended(attempt, report, trio.current_time() - attempt.made_at)
+            result = AttemptResult(status)
+        if result.status is Status.NOT_SENT and attempt.denial is not None:
+            result = replace(result, note=attempt.denial.value)
+        self._on_ended(attempt, result, trio.current_time() - attempt.created_at)
 
-    async def _probe(self) -> None:
-        began = trio.current_time()
+    async def _run_probe(self) -> None:
+        began_at = trio.current_time()
         try:
-            report = await self.clients[self._probed_with].probe()
-        except Exception as error:  # as above
-            report = AttemptResult(Status.RESET, note=f"fault in the engine client: {error!r}")
-        self._on_probed(self, report, trio.current_time() - began)
+            result = await self.clients[self._probe_protocol].probe()
+        except Exception as error:  # no behaviour of a peer may end the program
+            result = AttemptResult(Status.RESET, note=f"fault in the server client: {error!r}")
+        self._on_probed(self, result, trio.current_time() - began_at)
 
 
-AttemptCallback = Callable[
-    [Attempt, AttemptResult, float], None
-]  # with what came of it, and the seconds it took
+# With the result and the duration in seconds.
+AttemptCallback = Callable[[Attempt, AttemptResult, float], None]
 ProbeCallback = Callable[[Subchannel, AttemptResult, float], None]
--- a/sorreldock/routing/timers.py
+++ b/sorreldock/routing/timers.py
@@ -1,4 +1,4 @@
-"""Timers of one task: a heap, from which what is due is taken in the order of its time."""
+"""A heap of timers, owned by one task."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class Timers(Generic[T]):
-    """Things that wait for their time, in seconds of one clock; equal times keep their order."""
+    """A priority queue of items by due time in seconds; items due at the same time keep their order."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, T]] = []
         self._added = 0
 
     def __iter__(self) -> Iterator[T]:
-        """Go through what waits, in no particular order."""
-        return (what for _, _, what in self._heap)
+        """Iterate over the pending items, in no particular order."""
+        return (item for _, _, item in self._heap)
 
     @property
     def next_at(self) -> float:
-        """When the first of them is due; infinity if there is none."""
+        """The time at which the next item is due; infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
-    def add(self, at: float, what: T) -> None:
-        """Let something wait until this time."""
+    def add(self, due_at: float, item: T) -> None:
+        """Add an item that becomes due at the given time."""
         self._added += 1
-        heapq.heappush(self._heap, (at, self._added, what))
+        heapq.heappush(self._heap, (due_at, self._added, item))
 
-    def due(self, now: float) -> Iterator[T]:
-        """Take out what is due, also what is added meanwhile and due already."""
+    def pop_due(self, now: float) -> Iterator[T]:
+        """Remove and yield all due items, including those that are added while it is iterated."""
         while self._heap and self._heap[0][0] <= now:
             yield heapq.heappop(self._heap)[2]
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -1,4 +1,4 @@
-"""What fronts, engine clients and the resolver exchange with the core."""
+"""Types that the fronts, the server clients and the resolver exchange with the core."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Outcome(Enum):
-    """The final answer of an RPC."""
+    """The kind of final answer that an RPC got."""
 
     SERVED = "served"
-    REFUSED = "refused"  # the unavailable status: trying again is harmless
+    REFUSED = "refused"  # answered with the protocol's "unavailable": the client may safely retry
     FAILED = "failed"
-    BROKEN = "broken"  # the stream had begun and was cut off
-    GONE = "gone"  # the client left first; nobody is there to answer
+    BROKEN = "broken"  # the response stream had begun and was cut off
+    GONE = "gone"  # the client disconnected or cancelled before its answer
 
 
 class Cause(Enum):
-    """Why an RPC was not served."""
+    """The reason why an RPC was not served."""
 
     NONE = "none"
     DEADLINE = "deadline"
@@ -31,39 +31,45 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """The final answer of an RPC, with its cause."""
+    """The final answer of an RPC, with the cause of a failure."""
 
     outcome: Outcome
     cause: Cause = Cause.NONE
     may_have_run: bool = False
     retry_after_s: float = 0.0
-    server_status: object = None  # what the engine said, for the front of the same protocol
+    server_status: object = None  # the server's own status, which the front of the same protocol forwards
 
 
 class SinkClosed(Exception):
-    """The client can take no more of the answer."""
+    """Raised by a sink when the client can't receive the rest of its answer."""
 
 
 class EventSink(Protocol):
-    """Where a front takes an answer. `finish` is called exactly once."""
+    """The receiver of an RPC's answer, implemented by the fronts; `finish` is called exactly once."""
 
     async def send_event(self, data: bytes) -> None:
-        """Pass a piece of the answer on; waits while the client is slow, SinkClosed when it has gone."""
+        """Send a piece of the answer to the client, waiting while it reads slowly.
+
+        Raises SinkClosed when the client has disconnected.
+        """
 
     def finish(self, final: FinalAnswer) -> None: ...
 
     def has_client_left(self) -> bool:
-        """Whether the client has closed or cancelled, as far as a look without waiting tells."""
+        """Return whether the client is known, without waiting, to have disconnected or cancelled."""
 
 
 @dataclass(slots=True)
 class RPC:
-    """A request without its wire. `payload` is read only by the engine client of the same protocol."""
+    """A request in a form that is independent of its protocol.
+
+    Only the server client of the same protocol reads `payload`.
+    """
 
     name: str
     protocol: str
     rpc_class: str
-    expires_in_s: float  # from now until the first event
+    expires_in_s: float  # time left until the first event, as of `submit`
     payload: object
     sink: EventSink
     session: str = ""
@@ -74,65 +80,76 @@
     max_output_tokens: int = 0
     is_retry: bool = False
     resumed: bool = False
-    named_by_client: bool = True  # no other open RPC may have this name
+    named_by_client: bool = True  # if so, no other open RPC of this protocol may have the name
     expires_at: float = 0.0  # on trio's clock; set by the core
-    key: str = ""  # the core's own id; set by the core
+    key: str = ""  # unique id of this RPC; set by the core
 
 
 class Overloaded(Exception):
-    """As many RPCs are open as there may be."""
+    """Raised when the limit on open RPCs is reached."""
 
 
 class NameTaken(Exception):
-    """Another open RPC has this name."""
+    """Raised when another open RPC of the same protocol has this name."""
 
 
 class RPCDispatcher(Protocol):
-    """The core, as a front sees it."""
+    """The part of the core that the fronts use."""
 
     def closed_without_answer(self, rpc: str, reason: str) -> None:
-        """A connection ended with an answer owed though its client had not left."""
+        """Record that a connection was closed before its answer though the client had not disconnected."""
 
     classes: Mapping[str, RequestClass]
     tenants: Collection[str]
 
     def submit(self, rpc: RPC) -> None:
-        """Take an RPC, whose sink gets exactly one final answer; Overloaded when there are too many,
-        NameTaken when an open one has its name.
+        """Accept an RPC, whose sink gets exactly one final answer.
+
+        Raises Overloaded when too many RPCs are open and NameTaken when an open one has the same name.
         """
 
     def client_gone(self, rpc: RPC, reason: str = "") -> None:
-        """The client has left; of no effect once the RPC is answered. The reason is for the log."""
+        """Cancel the RPC of a client that has disconnected; does nothing once the RPC is answered.
+
+        `reason` is written to the log.
+        """
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt or a probe ended."""
+    """The result of an attempt or of a probe."""
 
     status: Status
     load: dict[Metric, float] = field(default_factory=dict)
     cached_tokens: int = 0
     note: str = ""
-    server_status: object = None  # the engine's own answer to a faulty request, to be passed on as it is
+    server_status: object = None  # the server's own answer to an invalid request, forwarded unchanged
 
 
 class AttemptProgress(Protocol):
-    """What an engine client tells of a call attempt while it is out."""
+    """The interface through which a server client reports on an attempt in flight.
+
+    `forward_event` passes whole events on to the client and raises SinkClosed when it can't receive them.
+    """
 
     def may_send(self) -> bool:
-        """Asked right before the first byte is written."""
+        """Return whether the request may be written; called right before its first byte."""
 
     def mark_written(self) -> None:
-        """Told once the last byte is written: from now on the request may run."""
+        """Record that the last byte of the request was written: from now on the server may run it."""
 
     def first_event_timeout_s(self) -> float:
-        """For how long the router will wait for the first event, from the moment of that question."""
+        """Return how long the router waits for the first event, counted from the last `may_send`."""
 
     async def forward_event(self, data: bytes) -> None: ...
 
 
 class ServerClient(Protocol):
-    """Speaks one protocol with one engine. A cancelled call gives the engine up by closing its connection."""
+    """A client for one protocol of one server; cancelling a call closes its connection.
+
+    `close_idle` closes all idle connections, `trim` those that have been idle too long to be used again, and
+    `discard` ends the use of the client.
+    """
 
     async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult: ...
 
@@ -147,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """An engine, as the resolver names it."""
+    """A server as listed by the discovery service."""
 
     uid: str
     endpoint: str
@@ -161,12 +178,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolverResult:
-    """A list of engines, or a change to it, from discovery."""
+    """A list of servers, or a change to the list, from discovery."""
 
     kind: ListKind
     targets: tuple[Target, ...] = ()
     version: int = 0
 
 
-ServerClientFactory = Callable[[str], dict[str, ServerClient]]  # an endpoint's clients, by protocol
-Log = Callable[..., None]  # (severity, message id, text, **structured data)
+ServerClientFactory = Callable[[str], dict[str, ServerClient]]  # the clients of an endpoint, by protocol
+Log = Callable[..., None]  # (severity, record name, text, **structured data)
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -13,7 +13,7 @@
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
 from sorreldock.protocol.http.client import HttpServerClient
-from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
+from sorreldock.routing.permissions import SCHEDULING_DELAY_S, time_to_finish_writing
 from sorreldock.routing.subchannel import Attempt
 from sorreldock.transport.budget import Descriptors
 from sorreldock.transport.connection import Connection
@@ -42,7 +42,9 @@
 
 def test_writing_stops_within_the_drain_grace_of_the_settings() -> None:
     for grace_s in (0.1, 0.25, 5.0):  # though the program be held up behind its clock
-        assert time_to_finish_writing(grace_s) + HELD_UP_S <= max(min(grace_s, 0.25), HELD_UP_S)
+        assert time_to_finish_writing(grace_s) + SCHEDULING_DELAY_S <= max(
+            min(grace_s, 0.25), SCHEDULING_DELAY_S
+        )
     assert time_to_finish_writing(0.25) == time_to_finish_writing(5.0) == pytest.approx(0.08)
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -25,8 +25,8 @@
     TimerFired,
 )
 from sorreldock.routing import core as routing_core
-from sorreldock.routing.mailbox import ENTRIES_AT_ONCE, DecisionMailbox
-from sorreldock.routing.pace import LONGEST_WAIT_S, DecisionPace, waits_too_long
+from sorreldock.routing.mailbox import MAX_LIST_ENTRIES, DecisionMailbox
+from sorreldock.routing.pace import MAX_WAIT_S, DecisionStats, waits_too_long
 from sorreldock.routing.types import AttemptResult
 
 DECISION_S = 0.02
@@ -88,7 +88,7 @@
 async def test_a_drain_notice_and_a_client_that_leaves_are_heard_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, time_s: False)
+    monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, budget_s: False)
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
     async with among(first, second, discovery=discovery) as router:
@@ -143,13 +143,13 @@
 
 def test_the_mailbox_puts_requests_behind_what_is_owed_and_cuts_long_lists() -> None:
     mailbox = DecisionMailbox()
-    entries = tuple(ReplicaEntry(number, "a") for number in range(ENTRIES_AT_ONCE + 1))
+    entries = tuple(ReplicaEntry(number, "a") for number in range(MAX_LIST_ENTRIES + 1))
     ended = AttemptEnded("r0", 0, 1, Status.OK, 0.1, True, 0, ())
     for event in (arrived("r1"), ended, ReplicaList(ListKind.FULL, entries, 3), ClientGone("r2")):
         mailbox.post(event)
     first = mailbox.take(16)
     assert first[0] is ended and isinstance(first[1], ReplicaList) and len(first) == 2
-    assert (first[1].kind, len(first[1].entries)) == (ListKind.FULL, ENTRIES_AT_ONCE)
+    assert (first[1].kind, len(first[1].entries)) == (ListKind.FULL, MAX_LIST_ENTRIES)
     [rest] = mailbox.take(16)
     assert isinstance(rest, ReplicaList) and (rest.kind, len(rest.entries)) == (ListKind.DELTA, 1)
     assert [type(event) for event in mailbox.take(16)] == [ClientGone]
@@ -158,14 +158,14 @@
 
 def test_a_request_waits_for_a_share_of_its_time_at_the_most() -> None:
     assert not waits_too_long(0.09, 0.5) and waits_too_long(0.11, 0.5)
-    assert waits_too_long(LONGEST_WAIT_S + 0.01, 60.0)
+    assert waits_too_long(MAX_WAIT_S + 0.01, 60.0)
 
 
 def test_long_decisions_are_told_once_a_second() -> None:
-    pace = DecisionPace(0.0)
-    pace.decided([TimerFired("late:r1:0")], 0.02)
-    pace.decided([arrived("r1")], 0.001)
-    assert pace.summary(0.5) is None
-    summary = pace.summary(1.0)
+    stats = DecisionStats(0.0)
+    stats.record_batch([TimerFired("late:r1:0")], 0.02)
+    stats.record_batch([arrived("r1")], 0.001)
+    assert stats.summary(0.5) is None
+    summary = stats.summary(1.0)
     assert summary is not None and (summary["batches"], summary["long"]) == (2, 1)
-    assert summary["longest_with"] == "TimerFired" and pace.summary(2.5) is None
+    assert summary["longest_with"] == "TimerFired" and stats.summary(2.5) is None
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -275,7 +275,7 @@
     clients: Any = {"http": Late()}
     subchannel = Subchannel(1, target, lambda _: clients, "http", lambda *told: got.append(told), print)
     attempt = Attempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
-    await subchannel._attempt(attempt)
+    await subchannel._run_attempt(attempt)
     assert got[0][1].status is Status.TIMEOUT and not attempt.started
 
 
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -22,12 +22,12 @@
 from sorreldock.transport.system import Machine
 
 ALLOWED: dict[str, Any] = {
-    "given_up": False,
+    "aborted": False,
     "server_ready": True,
     "now": 1.0,
     "expires_at": 2.0,
     "send_by": 2.0,
-    "client_there": lambda: True,
+    "client_present": lambda: True,
 }
 
 
@@ -35,11 +35,11 @@
     ("changes", "denial"),
     [
         ({}, None),
-        ({"given_up": True}, Denial.GIVEN_UP),
+        ({"aborted": True}, Denial.GIVEN_UP),
         ({"server_ready": False}, Denial.NOT_READY),
         ({"expires_at": 1.0}, Denial.EXPIRED),
         ({"send_by": 0.9}, Denial.WINDOW_OVER),
-        ({"client_there": lambda: False}, Denial.CLIENT_LEFT),
+        ({"client_present": lambda: False}, Denial.CLIENT_LEFT),
     ],
 )
 def test_what_forbids_a_write(changes: dict[str, Any], denial: Denial | None) -> None:
@@ -50,7 +50,7 @@
     def look() -> bool:
         raise AssertionError("a look has effects: it ends the RPC of a client that left")
 
-    assert may_write(**{**ALLOWED, "given_up": True, "client_there": look}) is Denial.GIVEN_UP
+    assert may_write(**{**ALLOWED, "aborted": True, "client_present": look}) is Denial.GIVEN_UP
 
 
 def test_what_forbids_an_attempt() -> None:
@@ -64,11 +64,11 @@
 def test_the_audit_counts_and_logs_each_rule_that_was_broken() -> None:
     records: list[tuple[Any, ...]] = []
     audit = Audit(lambda *words, **data: records.append((*words, data["rule"])))
-    audit.written("r1", 1.0, answered=False, in_flight=1, expires_at=2.0, drained_at=0.9)
-    audit.answered("r1", 1.5, again=False, begun=False, expires_at=2.0, outcome=Outcome.REFUSED)
+    audit.check_written("r1", 1.0, answered=False, in_flight=1, expires_at=2.0, drained_at=0.9)
+    audit.check_answered("r1", 1.5, again=False, begun=False, expires_at=2.0, outcome=Outcome.REFUSED)
     assert not audit.violations and not records
-    audit.written("r2", 3.0, answered=True, in_flight=2, expires_at=2.0, drained_at=2.0)
-    audit.answered("r2", 3.0, again=True, begun=False, expires_at=2.0, outcome=Outcome.FAILED)
+    audit.check_written("r2", 3.0, answered=True, in_flight=2, expires_at=2.0, drained_at=2.0)
+    audit.check_answered("r2", 3.0, again=True, begun=False, expires_at=2.0, outcome=Outcome.FAILED)
     assert set(audit.violations) == set(Rule) - {Rule.CLOSED_OWING} and len(records) == len(audit.violations)
     assert all(record[:2] == ("err", "VIOLATION") for record in records)
 
