--- a/sorreldock/protocol/__init__.py
+++ b/sorreldock/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts, engine clients and discovery: what the core's RPCs, attempts and lists are on each wire."""
+"""Protocols of the router: fronts for clients, clients of servers, and the client of discovery."""
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -1,4 +1,4 @@
-"""What the fronts of all protocols have in common: their client connections."""
+"""The common part of the fronts of all protocols: handling client connections."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from ..transport.budget import Descriptors, Payloads, Use
 from ..transport.connection import Connection
 
-MAX_BODY_BYTES = 256 * 1024  # of a request, or of a message
-# What a client may take. A request that is cut short is told by the silence after it: a slow link delivers
-# late but goes on delivering, so a body that still comes has long.
+MAX_BODY_BYTES = 256 * 1024  # of a request body or a message
+# Time limits for clients. A truncated request is recognized by the silence after it: a slow link delivers
+# late but keeps delivering, so a body that still arrives gets a long time.
 HEAD_TIMEOUT_S = (
-    2.5  # from a connection's start, or from a later request's first byte, to the end of its head
+    2.5  # from accepting the connection, or the first byte of a later request, to the end of its head
 )
-STALL_TIMEOUT_S = 2.0  # without a byte, within a request
+STALL_TIMEOUT_S = 2.0  # without a received byte, within a request
 BODY_TIMEOUT_S = 30.0
-WRITE_TIMEOUT_S = 15.0  # a client that takes nothing for so long has gone
-HANG_UP_TIMEOUT_S = 5.0  # to read on after an error: 60 MB that were under way arrive in it
-HANG_UP_QUIET_S = 1.0  # of nothing, and nothing more will come
-DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte, or call, of who comes to a drained router
+WRITE_TIMEOUT_S = 15.0  # a client that reads nothing for this long counts as disconnected
+HANG_UP_TIMEOUT_S = 5.0  # for reading on before a close; long enough for 60 MB in transit
+HANG_UP_QUIET_S = 1.0  # without a byte, after which no more are expected
+DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte or call of a new client while draining
 CLOSE_POLL_S = 0.01
-MAX_EVICTED_AT_ONCE = 8  # connections that make room in one step, if their patience is used up
+MAX_EVICTED_AT_ONCE = 8  # connections closed in one step, if their time limits have passed
 
 
-class Client(Protocol):
-    """The actor of one client connection."""
+class FrontConnection(Protocol):
+    """The actor of one client connection, as its front sees it."""
 
-    has_sent_request: bool  # whether it has ever sent a request
-    reserved_bytes: int  # of the payload budget, for what has come of a request
+    has_sent_request: bool  # whether the client has ever sent a request
+    reserved_bytes: int  # of the payload budget, for the received part of a request
 
     @property
     def stage(self) -> Stage: ...
@@ -45,22 +45,22 @@
 
     @property
     def readable(self) -> bool:
-        """Whether something has just come on it."""
+        """Whether received bytes wait to be read."""
 
     @property
     def owes_answer(self) -> bool:
-        """Whether a request has been read, in whole or in part, whose answer is not written yet."""
+        """Whether a request has been read, fully or partly, whose answer is not fully written."""
 
     async def run(self) -> None: ...
 
     def evict(self) -> None:
-        """Close, at once: no whole request has been taken."""
+        """Close the connection at once; called only while no whole request has been read."""
 
     def close_if_idle(self) -> bool:
-        """Close between requests; tells whether it was idle."""
+        """Close the connection if it is between requests, and return whether it was."""
 
 
-C = TypeVar("C", bound=Client)
+C = TypeVar("C", bound=FrontConnection)
 
 
 class Front(ABC, Generic[C]):
@@ -77,45 +77,46 @@
         self.core = core
         self.is_ready = is_ready
         self.payloads = payloads
-        self.clients: dict[C, None] = {}  # in order of their coming: a replay asks them alike
-        # Where a kill will follow: what is whole from then on could not be answered to its end before it.
+        self.clients: dict[C, None] = {}  # a dict, for the same order in each replay of a simulation
+        # The time from which requests are refused: the process will be killed before it could answer them.
         self.refuse_requests_from = math.inf
-        # Set once another process takes connections over that are between requests; tells whether it did.
+        # Passes a connection between requests to the successor process; returns whether that succeeded.
         self.pass_connection: Callable[[Connection], Awaitable[bool]] | None = None
         self.log = log
-        self.queue: EvictionQueue[C] = EvictionQueue()  # of those that may make room
-        self.shed: Counter[str] = Counter()  # connections that made room, by stage
+        self.queue: EvictionQueue[C] = EvictionQueue()  # of the connections that may be closed to make room
+        self.evictions: Counter[str] = Counter()  # connections closed to make room, by stage
         budget.evictors[Use.CLIENT].append(self.evict_clients)
 
     @abstractmethod
     def create_client(self, connection: Connection) -> C:
-        """The actor for a new connection."""
+        """Return the actor for a new connection."""
 
     @abstractmethod
     async def linger(self) -> None:
-        """Told to stop: take what still comes, and tell clients to go elsewhere."""
+        """Start to stop: accept further requests, but tell clients to use another router."""
 
     @abstractmethod
     async def drain(self) -> None:
-        """Take nothing new, and end what is idle."""
+        """Accept no new requests, and close idle connections."""
 
     @abstractmethod
     def resume(self) -> None:
-        """The drain was an operator's, and is over: as before `linger`."""
+        """Return to the state before `linger`, after an operator has cancelled a drain."""
 
     async def handle_passed_connection(self, connection: Connection) -> None:
-        """A connection that another process has served so far."""
+        """Serve a connection that a predecessor process has passed on."""
         await self.handle(connection, True)
 
     async def handle(self, connection: Connection, has_sent_request: bool = False) -> None:
+        """Serve a client connection to its end."""
         client = self.create_client(connection)
         client.has_sent_request = has_sent_request
         self.clients[client] = None
         self.queue.enter(client)
         try:
             await client.run()
-        except Exception as error:  # a peer's fault never ends the program
-            self.log("err", "FRONT", "fault on a client connection", error=repr(error))
+        except Exception as error:  # no behaviour of a peer may end the program
+            self.log("err", "FRONT", "unexpected error on a client connection", error=repr(error))
             if client.owes_answer:
                 self.core.closed_without_answer("", repr(error))
         finally:
@@ -124,42 +125,47 @@
 
     @property
     def is_refusing(self) -> bool:
-        """Whether a request that is whole now comes too late to be taken."""
+        """Whether a request that has arrived completely now must be refused."""
         return trio.current_time() >= self.refuse_requests_from
 
     def evict_clients(self) -> bool:
-        """Close a client connection for a newcomer, or some; tells whether there was one."""
-        shed = [c for c in self.queue.evictable(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable]
-        for client in shed:
-            self.shed[client.stage.value] += 1
+        """Close at least one client connection in favour of a new one, and return whether one was closed."""
+        evicted = [
+            c for c in self.queue.evictable(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable
+        ]
+        for client in evicted:
+            self.evictions[client.stage.value] += 1
             client.evict()
-        return bool(shed)
+        return bool(evicted)
 
     def reserve_payload(self, client: C, count: int) -> bool:
-        """Room in memory for bytes of a request. Guards requests that go on against those that have stopped
-        half way: the one that has been silent longest lets go of its bytes.
+        """Reserve memory for bytes of a request, and return whether that succeeded.
+
+        If memory is short, the partial request that has been silent the longest is closed, so that stalled
+        requests don't block those that make progress.
         """
         while not self.payloads.take(count):
             others = (
                 c for c in self.clients if c.stage is Stage.HALF and c.reserved_bytes and c is not client
             )
-            stopped = evictable(others, trio.current_time(), 1)
-            if not stopped or stopped[0].readable:
+            stalled = evictable(others, trio.current_time(), 1)
+            if not stalled or stalled[0].readable:
                 return False
-            self.shed["payload"] += 1
-            stopped[0].evict()
+            self.evictions["payload"] += 1
+            stalled[0].evict()
         client.reserved_bytes += count
         return True
 
     async def log_evictions(self) -> None:
+        """Log the number of evicted connections, once a second."""
         while True:
             await trio.sleep(1.0)
-            if self.shed:
-                counts, self.shed = self.shed, Counter()
+            if self.evictions:
+                counts, self.evictions = self.evictions, Counter()
                 self.log("notice", "CROWD", "connections closed to make room", **counts)
 
     async def wait_closed(self, within_s: float) -> None:
-        """Wait until the last answer has been written, and then so long for the connections to end."""
+        """Wait until all answers are written, then at most `within_s` for the connections to end."""
         while any(client.owes_answer for client in self.clients):
             await trio.sleep(CLOSE_POLL_S)
         with trio.move_on_after(within_s):
--- a/sorreldock/protocol/loads.py
+++ b/sorreldock/protocol/loads.py
@@ -1,4 +1,4 @@
-"""Load reports: `TEXT eps=0.5, queue=3`, or the same as JSON, with the platform's names of the values."""
+"""Load reports of servers: `TEXT eps=0.5, queue=3` or the same as JSON, with the platform's metric names."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from ..interface import Metric
 
 LOAD_REPORT_HEADER = "Endpoint-Load-Metrics"
-LARGEST = 1e6  # no count, share or time of an engine is larger, in the units of the settings
-NAMES = {
+MAX_VALUE = 1e6  # no metric of a server is larger, in the units of the settings
+METRICS_BY_NAME = {
     "inflight": Metric.IN_FLIGHT,
     "outstanding": Metric.IN_FLIGHT,
     "queue": Metric.QUEUE_LENGTH,
@@ -27,28 +27,29 @@
 
 
 def parse_load(text: str) -> dict[Metric, float]:
-    """The values of a report; what can't be read is left out, since a peer may write anything."""
-    form, _, rest = text.strip().partition(" ")
+    """Return the metrics of a report, without entries that are unknown or invalid."""
+    format_name, _, rest = text.strip().partition(" ")
     pairs: list[tuple[str, object]] = []
-    if form == "JSON":
+    if format_name == "JSON":
         try:
-            whole = json.loads(rest)
+            decoded = json.loads(rest)
         except (ValueError, RecursionError):
             return {}
-        if isinstance(whole, dict):
-            pairs = list(whole.items())
+        if isinstance(decoded, dict):
+            pairs = list(decoded.items())
     else:
-        body = rest if form == "TEXT" else text
+        body = rest if format_name == "TEXT" else text
         pairs = [(name, value) for name, _, value in (part.partition("=") for part in body.split(","))]
     load: dict[Metric, float] = {}
     for name, value in pairs:
-        metric = NAMES.get(name.strip().removeprefix("named_metrics."))
+        metric = METRICS_BY_NAME.get(name.strip().removeprefix("named_metrics."))
         if metric is None or not isinstance(value, str | int | float):
             continue
         try:
             number = float(value)
         except (ValueError, OverflowError):
             continue
-        if 0 <= number <= LARGEST:  # neither nan nor what would drown all that was learnt from other reports
+        # Neither NaN nor a value so large that it would outweigh all earlier reports in the averages.
+        if 0 <= number <= MAX_VALUE:
             load[metric] = number
     return load
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -1,4 +1,4 @@
-"""What the engine clients of all protocols have in common: a call attempt's way over a pooled connection."""
+"""The common part of the server clients of all protocols: running an attempt on a pooled connection."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from ..transport.connection import ConnectionLost, DialFailed, LocalShortage, NoListener
 from ..transport.pool import Line, Pool
 
-# An engine that goes silent within a stream: its client would wait for ever, since a vanished machine says
-# nothing. Longer than a slow engine's pause between events, shorter than the 5 s that the platform allows.
+# The time without an event after which a response stream counts as broken. Without it clients would wait for
+# ever for a machine that vanished, since such a machine sends no reset. Longer than a slow server's pauses
+# between events, shorter than the 5 s that the platform allows.
 EVENT_GAP_TIMEOUT_S = 3.5
 PROBE_TIMEOUT_S = 0.25
-# An answer that has begun to arrive brings its first whole event at once: its head comes with its first.
-# Guards against a head without an end, or noise in place of the opening, on a connection that stays open:
-# without this limit the request would wait for its deadline, with no time left for another attempt.
+# The time from the first byte of an answer to its first whole event, which servers send together with the
+# head. Without this limit an incomplete head or garbage on a connection that stays open would use up the
+# request's whole time, with none left for another attempt.
 FIRST_EVENT_TIMEOUT_S = 1.0
 MAX_EVENT_BYTES = 128 * 1024
 
 
 class RequestNotProcessed(ConnectionLost):
-    """The protocol's own proof that a request was not processed."""
+    """The connection was lost and the protocol proves that the server did not process the request."""
 
 
 class ServerProtocolError(Exception):
-    """The engine has said what its protocol does not allow."""
+    """The server violated the protocol."""
 
 
 def dial_status(error: DialFailed) -> Status:
-    """What a failed dial says of the engine."""
+    """Return the status of an attempt whose connection could not be established."""
     if isinstance(error, LocalShortage):
         return Status.NOT_SENT
     return Status.NO_LISTENER if isinstance(error, NoListener) else Status.CONNECT_FAILED
@@ -43,7 +44,10 @@
 
 
 class PooledServerClient(ABC, Generic[L, E]):
-    """`L` is a connection with its parser, `E` an exchange on it."""
+    """A server client that runs each attempt and probe on a connection of its pool.
+
+    `L` is the type of a connection with its parser, `E` that of a request and its answer on a connection.
+    """
 
     def __init__(self, pool: Pool[L]) -> None:
         self._pool = pool
@@ -52,59 +56,60 @@
         self.trim = pool.trim
 
     @abstractmethod
-    async def send(self, line: L, rpc: RPC, progress: AttemptProgress) -> E:
-        """Write the request to its last byte."""
+    async def send(self, connection: L, rpc: RPC, progress: AttemptProgress) -> E:
+        """Write the whole request and return the exchange that its answer is read from."""
 
     @abstractmethod
     async def answer(self, exchange: E, progress: AttemptProgress) -> AttemptResult:
-        """Pass the answer's events on, to its end."""
+        """Forward the events of the answer until its end, and return the result."""
 
     @abstractmethod
-    async def ask_load(self, line: L) -> AttemptResult:
-        """A probe."""
+    async def ask_load(self, connection: L) -> AttemptResult:
+        """Send a probe and return its result, with the load report of the server."""
 
     async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
         try:
-            line = await self._pool.get()
+            connection = await self._pool.get()
         except DialFailed as error:
             return AttemptResult(dial_status(error), note=str(error))
-        whole = False
+        completed = False
         try:
             if not progress.may_send():
-                whole = True
+                completed = True
                 return AttemptResult(Status.NOT_SENT)
             try:
-                exchange = await self.send(line, rpc, progress)
+                exchange = await self.send(connection, rpc, progress)
             except RequestNotProcessed as error:
                 return AttemptResult(Status.FULL, note=str(error))
             except (ConnectionLost, ServerProtocolError) as error:
-                # Its last byte was not written: it never ran, and the transport never sends it again.
+                # The last byte was not written, so the server has not run it, and the transport never sends
+                # it again.
                 return AttemptResult(Status.CONNECT_FAILED, note=str(error))
             progress.mark_written()
             try:
-                report = await self.answer(exchange, progress)
+                result = await self.answer(exchange, progress)
             except RequestNotProcessed as error:
                 return AttemptResult(Status.FULL, note=str(error))
             except (ConnectionLost, ServerProtocolError) as error:
                 return AttemptResult(Status.RESET, note=str(error))
-            whole = True
-            return report
-        finally:  # a connection that is not kept is closed, which gives the attempt up
-            self._pool.give_back(line, whole)
+            completed = True
+            return result
+        finally:  # closes the connection of an incomplete exchange, which cancels the attempt at the server
+            self._pool.give_back(connection, completed)
 
     async def probe(self) -> AttemptResult:
         with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
-                line = await self._pool.get()
+                connection = await self._pool.get()
             except DialFailed as error:
                 return AttemptResult(dial_status(error), note=str(error))
-            whole = False
+            completed = False
             try:
-                report = await self.ask_load(line)
-                whole = True
-                return report
+                result = await self.ask_load(connection)
+                completed = True
+                return result
             except (ConnectionLost, ServerProtocolError) as error:
                 return AttemptResult(Status.RESET, note=str(error))
             finally:
-                self._pool.give_back(line, whole)
+                self._pool.give_back(connection, completed)
         return AttemptResult(Status.TIMEOUT)
