--- a/sorreldock/protocol/http/discovery.py
+++ b/sorreldock/protocol/http/discovery.py
@@ -1,4 +1,4 @@
-"""The resolver: the platform's discovery, watched over HTTP/1.1. Its actor is the list's."""
+"""The resolver, which watches the server list of the platform's discovery over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from ...interface import ListKind, ReplicaState
 from ...routing.types import Log, ResolverResult, Target
 from ...transport.connection import Connection, ConnectionLost, Dial, DialFailed, dial
-from .freshness import DIAL_S, Freshness
+from .freshness import CONNECT_TIMEOUT_S, WatchSchedule
 
 STATES = {
     "Ready": ReplicaState.READY,
     "Terminating": ReplicaState.DRAINING,
     "Gone": ReplicaState.GONE,
 }
-MAX_LIST_BYTES = 4 * 1024 * 1024  # unless its reader is told otherwise
-TARGETS_AT_ONCE = 200  # decoded before others have their turn
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+MAX_LIST_BYTES = 4 * 1024 * 1024  # the default limit
+TARGETS_PER_SLICE = 200  # decoded before other tasks run
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class ListError(ValueError):
-    """A list that is not of the platform's form."""
+    """Raised for a server list that does not have the platform's format."""
 
 
 def decode_target(raw: Any) -> Target:
+    """Decode an entry of a list; ListError says what is wrong."""
     try:
         target = Target(
             uid=str(raw["uid"]),
@@ -51,31 +52,31 @@
 
 
 def decode_result(raw: Any, kind: ListKind | None = None) -> ResolverResult:
-    """Decode a list, or a change to it; ListError says what is wrong."""
+    """Decode a list or a change to it; ListError says what is wrong."""
     version = decode_version(raw)
     return _result(raw, version, map(decode_target, raw["targets"]), kind)
 
 
 async def decode_in_slices(raw: Any) -> ResolverResult:
-    """Do the same, and let other tasks run in between: a list may hold thousands."""
+    """Decode a list or a change to it in slices, between which other tasks run: it may hold thousands."""
     version = decode_version(raw)
     targets: list[Target] = []
-    for first in range(0, len(raw["targets"]), TARGETS_AT_ONCE):
+    for first in range(0, len(raw["targets"]), TARGETS_PER_SLICE):
         if first:
             await trio.lowlevel.checkpoint()
-        targets += map(decode_target, raw["targets"][first : first + TARGETS_AT_ONCE])
+        targets += map(decode_target, raw["targets"][first : first + TARGETS_PER_SLICE])
     return _result(raw, version, targets)
 
 
 def _result(
     raw: Any, version: int, targets: Iterable[Target], kind: ListKind | None = None
 ) -> ResolverResult:
-    told = ListKind.FULL if raw.get("all") else ListKind.DELTA
-    return ResolverResult(kind or told, tuple(targets), version)
+    stated_kind = ListKind.FULL if raw.get("all") else ListKind.DELTA
+    return ResolverResult(kind or stated_kind, tuple(targets), version)
 
 
 def decode_version(raw: Any) -> int:
-    """Return the version of a list; ListError if it is not of a list's form."""
+    """Return the version of a list; ListError if it does not have the format of a list."""
     if not isinstance(raw, dict) or not isinstance(raw.get("targets"), list):
         raise ListError("the list is not an object with targets")
     try:
@@ -85,7 +86,7 @@
 
 
 def encode_result(result: ResolverResult) -> dict[str, Any]:
-    """In the platform's form, for `decode_result`."""
+    """Return a result in the platform's format, as `decode_result` reads it."""
     names = {state: name for name, state in STATES.items()}
     return {
         "rev": result.version,
@@ -107,68 +108,75 @@
 
 
 class ListReader:
-    """The objects of a watch, from its bytes. One stands on a line as a rule; an indented one goes on over
-    many, to the line on which its last bracket closes.
+    """An incremental parser of the JSON objects of a watch.
+
+    An object usually takes one line; an indented one ends with the line that closes its last bracket.
     """
 
     def __init__(self, max_list_bytes: int = MAX_LIST_BYTES) -> None:
         self._max_list_bytes = max_list_bytes
-        self._rest: list[bytes] = []  # the pieces of a line that has not ended
-        self._rest_size = 0
-        self._begun: list[bytes] = []  # the lines of an object that has not ended
-        self._size = self._depth = 0
-        self.signs = 0  # whole objects and empty lines so far
+        self._partial_line: list[bytes] = []  # the pieces of an incomplete line
+        self._partial_line_size = 0
+        self._object_lines: list[bytes] = []  # the lines of an incomplete object
+        self._object_size = self._depth = 0
+        self.heartbeats = 0  # complete objects and empty lines so far
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        for line in self._whole_lines(data):
+        """Yield the objects that the data completes; ListError for invalid or oversized ones."""
+        for line in self._complete_lines(data):
             if self._depth == 0:
                 if not (line := line.strip()):
-                    self.signs += 1
+                    self.heartbeats += 1
                     continue
                 try:
                     raw = json.loads(line)
-                    self.signs += 1
+                    self.heartbeats += 1
                     yield raw
                     continue
-                except (ValueError, RecursionError):  # the latter from brackets nested without end
-                    self._begin(line)
+                except (ValueError, RecursionError):  # the latter for excessive nesting
+                    self._begin_object(line)
             else:
-                self._take(line)
+                self._add_line(line)
                 if self._depth == 0:
-                    self.signs += 1
-                    yield self._end()
-        if self._size + self._rest_size > self._max_list_bytes:
+                    self.heartbeats += 1
+                    yield self._end_object()
+        if self._object_size + self._partial_line_size > self._max_list_bytes:
             raise ListError("the list is too long")
 
-    def _whole_lines(self, data: bytes) -> list[bytes]:
-        """Return the lines that end in this piece. Pieces are joined once: a line may come byte by byte."""
+    def _complete_lines(self, data: bytes) -> list[bytes]:
+        """Return the lines that end in this piece.
+
+        Pieces are joined only once, since a line may arrive byte by byte.
+        """
         if b"\n" not in data:
-            self._rest.append(data)
-            self._rest_size += len(data)
+            self._partial_line.append(data)
+            self._partial_line_size += len(data)
             return []
-        *lines, rest = b"".join([*self._rest, data]).split(b"\n")
-        self._rest, self._rest_size = [rest], len(rest)
+        *lines, rest = b"".join([*self._partial_line, data]).split(b"\n")
+        self._partial_line, self._partial_line_size = [rest], len(rest)
         return lines
 
-    def _begin(self, line: bytes) -> None:
-        self._take(line)
+    def _begin_object(self, line: bytes) -> None:
+        self._add_line(line)
         if self._depth <= 0:
             raise ListError("a line of the watch is not JSON")
 
-    def _take(self, line: bytes) -> None:
-        # Guards against an object that was cut off: the sign of life that follows is an empty line, which no
-        # object has within, and without this its reader would wait for the end for ever.
+    def _add_line(self, line: bytes) -> None:
+        # An empty line is a heartbeat and never part of an object, so the object was truncated. Without this
+        # check the reader would wait for its end for ever.
         if not line.strip():
-            raise ListError("an object of the watch breaks off")
-        self._begun.append(line)
-        self._size += len(line) + 1
-        bare = STRING.sub(b"", line)
-        self._depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
+            raise ListError("an object of the watch is truncated")
+        self._object_lines.append(line)
+        self._object_size += len(line) + 1
+        without_strings = JSON_STRING.sub(b"", line)
+        self._depth += sum(map(without_strings.count, (b"{", b"["))) - sum(
+            map(without_strings.count, (b"}", b"]"))
+        )
         if self._depth < 0:
             raise ListError("a line of the watch is not JSON")
 
-    def _end(self) -> Any:
-        text, self._begun, self._size = b"\n".join(self._begun), [], 0
+    def _end_object(self) -> Any:
+        text, self._object_lines, self._object_size = b"\n".join(self._object_lines), [], 0
         try:
             return json.loads(text)
         except (ValueError, RecursionError):
@@ -176,8 +184,10 @@
 
 
 class Resolver:
-    """Watches, from soon after the start on, and opens a watch that ended anew, after the pauses of
-    `Freshness`. The module hears nothing of losses: two that ask make twice the calls, of a whole fleet.
+    """The client of discovery, which keeps a watch open and restarts it after the pauses of `WatchSchedule`.
+
+    The decision module is not informed of lost watches: if it subscribed as well, the fleet would make twice
+    as many calls.
     """
 
     def __init__(
@@ -195,9 +205,9 @@
         self._address = address
         self._version = version
         self._max_list_bytes = max_list_bytes
-        self._freshness = Freshness(pushed, must_ask_in_s)
+        self._schedule = WatchSchedule(pushed, must_ask_in_s)
         self._draw = random.Random(seed).random
-        self.first_list_received = trio.Event()  # once discovery has told anything
+        self.first_list_received = trio.Event()  # set once discovery has sent a list
         self._on_result = on_result
         self._log = log
         self._dial = dial
@@ -205,45 +215,49 @@
 
     @property
     def version(self) -> int:
+        """The version of the latest known list."""
         return self._version
 
     def start_from(self, version: int) -> None:
-        """Begin where another process of this router is."""
+        """Use the version that another process of this router knows, if it is newer."""
         self._version = max(version, self._version)
 
     def change_address(self, address: str) -> None:
-        """Watch another discovery from now on. The versions of one mean nothing to another, so it is asked
-        for the whole list; until it answers, what is known holds.
+        """Watch another discovery from now on.
+
+        Versions of different discoveries are not comparable, so the whole list is requested; until it
+        arrives, the known list stays in use.
         """
         self._address, self._version = address, 0
-        self._freshness.moved(trio.current_time())
-        self._watching.cancel()  # or the pause before it
+        self._schedule.address_changed(trio.current_time())
+        self._watching.cancel()  # the watch, or the pause before it
 
     async def run(self) -> None:
-        pause = self._freshness.first(trio.current_time(), self._draw())
+        """Keep a watch open until cancelled."""
+        pause = self._schedule.first_pause(trio.current_time(), self._draw())
         while True:
             with trio.CancelScope() as self._watching:
                 await trio.sleep(pause)
-                reason = await self._attempt()
-                pause = self._freshness.lost(trio.current_time())
-                self._log("notice", "WATCH", "the watch on the list is lost", reason=reason, pause_s=pause)
+                reason = await self._watch_once()
+                pause = self._schedule.retry_pause(trio.current_time())
+                self._log("notice", "WATCH", "watch on the server list lost", reason=reason, pause_s=pause)
             if self._watching.cancelled_caught:
                 pause = 0.0
 
-    async def _attempt(self) -> str:
-        """One watch, to its end; tells why it ended."""
+    async def _watch_once(self) -> str:
+        """Run one watch to its end, and return the reason for its end."""
         try:
             await self._watch()
             return "ended"
         except (ConnectionLost, DialFailed, h11.RemoteProtocolError, ListError) as error:
             return str(error)
-        except Exception as error:  # whatever discovery may send must not end the program
+        except Exception as error:  # nothing that discovery sends may end the program
             return f"fault: {error!r}"
 
     async def _watch(self) -> None:
-        self._freshness.began(trio.current_time())
-        connection = await self._dial(self._address, DIAL_S, lambda: None)
-        self._freshness.met(trio.current_time())
+        self._schedule.call_started(trio.current_time())
+        connection = await self._dial(self._address, CONNECT_TIMEOUT_S, lambda: None)
+        self._schedule.connected(trio.current_time())
         try:
             await self._read(connection)
         finally:
@@ -257,13 +271,13 @@
             headers=[("host", self._address)],
         )
         await connection.send((parser.send(request) or b"") + (parser.send(h11.EndOfMessage()) or b""))
-        reader, signs = ListReader(self._max_list_bytes), 0
+        reader, heartbeats = ListReader(self._max_list_bytes), 0
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                # Guards against a discovery that is cut off and says nothing, or that trickles: without the
-                # limit the list would grow old unnoticed.
-                with trio.move_on_at(self._freshness.deadline) as stall:
+                # Detects a discovery that is unreachable and silent, or that sends too slowly: without this
+                # timeout the list would become outdated without notice.
+                with trio.move_on_at(self._schedule.deadline) as stall:
                     data = await connection.receive()
                 if stall.cancelled_caught:
                     raise ConnectionLost("stalled")
@@ -271,13 +285,13 @@
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
                     raise ConnectionLost(f"HTTP {event.status_code}")
-                self._freshness.opened(trio.current_time())
+                self._schedule.answer_started(trio.current_time())
             elif isinstance(event, h11.Data):
                 for raw in reader.feed(bytes(event.data)):
                     self._follow_result(await decode_in_slices(raw))
-                if reader.signs > signs:
-                    signs = reader.signs
-                    self._freshness.sign(trio.current_time())
+                if reader.heartbeats > heartbeats:
+                    heartbeats = reader.heartbeats
+                    self._schedule.heartbeat(trio.current_time())
             elif isinstance(event, h11.InformationalResponse):
                 continue
             else:
@@ -285,9 +299,13 @@
 
     def _follow_result(self, result: ResolverResult) -> None:
         if result.kind is ListKind.DELTA and result.version < self._version:
-            # Guards the drain rule: an older change would bring back servers that have begun to end.
+            # An older change could list servers as ready that have begun to drain since.
             self._log(
-                "notice", "WATCH", "an older change is left out", rev=result.version, known=self._version
+                "notice",
+                "WATCH",
+                "ignoring an outdated change of the server list",
+                rev=result.version,
+                known=self._version,
             )
             return
         self._version = result.version
--- a/sorreldock/protocol/http/fields.py
+++ b/sorreldock/protocol/http/fields.py
@@ -1,4 +1,4 @@
-"""The fields of the platform's requests."""
+"""Parsing of the header fields of the platform's requests."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from ...routing.types import RPC, EventSink
 
 SERVED_PATH = "/v1/chat/completions"
-EXPIRY = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")
-UNITS = {"m": 1e-3, "u": 1e-6}
-LONGEST_NAME = 200
-LONGEST_WAIT_S = 3600.0
-OWN = {
+EXPIRES_IN_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")
+UNITS_S = {"m": 1e-3, "u": 1e-6}
+MAX_FIELD_LENGTH = 200  # characters
+MAX_EXPIRES_IN_S = 3600.0
+# The fields that the router uses or sets itself.
+ROUTER_FIELDS = {
     b"x-trace-id",
     b"x-qos",
     b"x-customer",
@@ -28,7 +29,7 @@
 }
 
 
-# Of one connection alone (RFC 9110, section 7.6.1); fields that `connection` names are too.
+# Fields that apply to one connection only, as do those named in `connection` (RFC 9110, section 7.6.1).
 HOP_BY_HOP = {
     b"connection",
     b"keep-alive",
@@ -44,28 +45,29 @@
 
 
 class BadRequest(ValueError):
-    """A field is missing or invalid; the message names it."""
+    """Raised for a missing or invalid field, which the message names."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpPayload:
-    """What passes on to an engine unchanged."""
+    """The parts of a request that are forwarded to a server unchanged."""
 
     target: bytes
     trace_id: bytes
     content_type: bytes
     body: bytes
-    other_fields: tuple[tuple[bytes, bytes], ...] = ()  # that the router does not know, in their order
+    other_fields: tuple[tuple[bytes, bytes], ...] = ()  # unknown to the router, in their order
 
 
-def single(fields: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """The fields by their names. Guards the engines against requests that two readers read differently: a
-    length beside a transfer coding may hide another request in the body, and of a field given twice each
-    reader may take another one.
+def unique_fields(fields: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
+    """Return the fields by name, and reject ambiguous ones with BadRequest.
+
+    Protects the servers from request smuggling: Content-Length next to Transfer-Encoding may hide another
+    request in the body, and of a repeated field the router and a server might use different values.
     """
     headers: dict[bytes, bytes] = {}
     for name, value in fields:
-        if name in headers and name in OWN:
+        if name in headers and name in ROUTER_FIELDS:
             raise BadRequest(f"{name.decode()} is given twice")
         headers[name] = value
     if b"content-length" in headers and b"transfer-encoding" in headers:
@@ -74,30 +76,32 @@
 
 
 def end_to_end(fields: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
-    """The fields that are neither the router's nor of one connection alone.
+    """Return the fields to forward: those that are neither the router's nor hop-by-hop.
 
-    Clients and servers may agree on any, as on a key by which a server knows a repeat.
+    Clients and servers may agree on any others, such as a key by which a server recognizes a repeated
+    request.
     """
     fields = list(fields)
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, value in fields
         if name == b"connection"
         for token in value.split(b",")
     }
-    return tuple(field for field in fields if field[0] not in OWN | HOP_BY_HOP | named)
+    return tuple(field for field in fields if field[0] not in ROUTER_FIELDS | HOP_BY_HOP | connection_options)
 
 
-def expires_in(text: str) -> float:
-    match = EXPIRY.fullmatch(text)
-    seconds = float(match[1]) * UNITS[match[2]] if match else 0.0
-    if not 0 < seconds <= LONGEST_WAIT_S:
+def parse_expires_in(text: str) -> float:
+    """Return the value of X-Expires-In in seconds."""
+    match = EXPIRES_IN_PATTERN.fullmatch(text)
+    seconds = float(match[1]) * UNITS_S[match[2]] if match else 0.0
+    if not 0 < seconds <= MAX_EXPIRES_IN_S:
         raise BadRequest("X-Expires-In is not a positive number with the unit m or u, of an hour at most")
     return seconds
 
 
-def props(text: str) -> tuple[str, dict[str, int]]:
-    """The shared opening's name and the lengths in tokens."""
+def parse_props(text: str) -> tuple[str, dict[str, int]]:
+    """Return the name of the shared prefix and the lengths in tokens from X-Props."""
     prefix, lengths = "", {"prompt_len": 0, "prefix_len": 0, "max_out": 0}
     for part in filter(None, (p.strip() for p in text.split(","))):
         name, _, value = part.partition("=")
@@ -117,14 +121,14 @@
     tenants: Collection[str],
     sink: EventSink,
 ) -> RPC:
-    """The neutral RPC, still without its body; BadRequest names the field that is missing or invalid."""
+    """Return the RPC of a request, with an empty body; BadRequest names a missing or invalid field."""
 
     def text(name: str) -> str:
         try:
             value = headers.get(name.lower().encode(), b"").decode("ascii")
         except UnicodeDecodeError:
             raise BadRequest(f"{name} is not ASCII") from None
-        if len(value) > LONGEST_NAME:
+        if len(value) > MAX_FIELD_LENGTH:
             raise BadRequest(f"{name} is too long")
         return value
 
@@ -140,15 +144,15 @@
     tenant = required("X-Customer") if tenants else text("X-Customer")
     if tenants and tenant not in tenants:
         raise BadRequest(f"X-Customer names no tenant: {tenant}")
-    second = text("X-Second-Try")
-    if second not in ("", "1", "again"):
+    second_try = text("X-Second-Try")
+    if second_try not in ("", "1", "again"):
         raise BadRequest("X-Second-Try is neither 1 nor again")
-    prefix, lengths = props(text("X-Props"))
+    prefix, lengths = parse_props(text("X-Props"))
     return RPC(
         name=trace_id,
         protocol="http",
         rpc_class=rpc_class,
-        expires_in_s=expires_in(required("X-Expires-In")),
+        expires_in_s=parse_expires_in(required("X-Expires-In")),
         payload=HttpPayload(
             target, trace_id.encode(), headers.get(b"content-type", b"application/json"), b""
         ),
@@ -159,6 +163,6 @@
         prompt_tokens=lengths["prompt_len"],
         prefix_tokens=lengths["prefix_len"],
         max_output_tokens=lengths["max_out"],
-        is_retry=second == "1",
-        resumed=second == "again",
+        is_retry=second_try == "1",
+        resumed=second_try == "again",
     )
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -14,7 +14,7 @@
 from .. import front as limits
 from ..front import Front
 from .arrivals import Arrivals
-from .fields import SERVED_PATH, BadRequest, HttpPayload, end_to_end, rpc_from, single
+from .fields import SERVED_PATH, BadRequest, HttpPayload, end_to_end, rpc_from, unique_fields
 
 LARGEST_HEAD = 16 * 1024
 # Bytes kept of requests that a client sends before it has been answered: one of the largest. Later ones are
@@ -303,7 +303,7 @@
         core = self.front.core
         self.final, self.finished, self.head_sent = None, trio.Event(), False
         try:
-            headers = single(request.headers)
+            headers = unique_fields(request.headers)
             rpc = rpc_from(headers, request.target, core.classes, core.tenants, self)
         except BadRequest as error:
             raise Answered(400, str(error), (CLOSE,)) from None
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -14,7 +14,7 @@
 from sorreldock.lab.simulation.system import VirtualSystem
 from sorreldock.protocol.http import freshness
 from sorreldock.protocol.http.discovery import Resolver
-from sorreldock.protocol.http.freshness import Freshness
+from sorreldock.protocol.http.freshness import WatchSchedule
 from sorreldock.routing.types import ResolverResult
 from sorreldock.transport.connection import dialler
 
@@ -36,20 +36,20 @@
     """Seconds from the moment from which a change could be had to the one in which it is here, by a clock
     that is moved by hand.
     """
-    clock, now, at = Freshness(False, must_ask_in_s), 0.0, rng.uniform(5.0, 15.0)
+    schedule, now, at = WatchSchedule(False, must_ask_in_s), 0.0, rng.uniform(5.0, 15.0)
     met, lasts = TROUBLES[trouble]
-    now += clock.first(now, rng.random())
+    now += schedule.first_pause(now, rng.random())
     while True:
-        clock.began(now)
+        schedule.call_started(now)
         if now >= at:
-            clock.met(now)
+            schedule.connected(now)
             now += rng.uniform(0.0, IN_TURN_S)
-            assert now <= clock.deadline
+            assert now <= schedule.deadline
             return now - at
         if met:
-            clock.met(now)
-        now = clock.deadline if lasts is None else now + lasts
-        now += clock.lost(now)
+            schedule.connected(now)
+        now = schedule.deadline if lasts is None else now + lasts
+        now += schedule.retry_pause(now)
 
 
 @pytest.mark.parametrize("must_ask_in_s", [2.0, 10.0, 3600.0])
@@ -63,29 +63,29 @@
 def test_what_a_silent_watch_has_missed_is_here_in_time(pushed: bool) -> None:
     for seed in range(200):
         rng = random.Random(seed)
-        clock = Freshness(pushed, 10.0)
-        clock.first(0.0, rng.random())
-        clock.began(0.0)
-        clock.met(0.0)
-        clock.opened(0.5)
+        schedule = WatchSchedule(pushed, 10.0)
+        schedule.first_pause(0.0, rng.random())
+        schedule.call_started(0.0)
+        schedule.connected(0.0)
+        schedule.answer_started(0.5)
         for at in range(1, 9):
-            assert clock.deadline > 2.0 * at  # a sign of life comes every 2 s
-            clock.sign(2.0 * at)
-        at = clock.deadline
-        assert at + clock.lost(at) + IN_TURN_S < 16.0 + TOLD_S
+            assert schedule.deadline > 2.0 * at  # a sign of life comes every 2 s
+            schedule.heartbeat(2.0 * at)
+        at = schedule.deadline
+        assert at + schedule.retry_pause(at) + IN_TURN_S < 16.0 + TOLD_S
 
 
 def test_while_discovery_is_down_a_fleet_neither_hammers_nor_returns_in_step() -> None:
     calls: list[float] = []
     for router in range(200):
-        rng, clock = random.Random(router), Freshness(False, 10.0)
-        clock.first(0.0, rng.random())
-        clock.began(0.0)
-        clock.met(0.0)
-        clock.sign(1.0)
+        rng, schedule = random.Random(router), WatchSchedule(False, 10.0)
+        schedule.first_pause(0.0, rng.random())
+        schedule.call_started(0.0)
+        schedule.connected(0.0)
+        schedule.heartbeat(1.0)
         now = 1.0
-        while (now := now + clock.lost(now)) < 9.0:  # down for 8 s, and refuses
-            clock.began(now)
+        while (now := now + schedule.retry_pause(now)) < 9.0:  # down for 8 s, and refuses
+            schedule.call_started(now)
             calls.append(now)
     later = [sum(at <= call < at + 0.1 for call in calls) for at in (5.0, 6.0, 7.0, 8.0)]
     assert len(calls) < 200 * 20 and max(later) < 50
@@ -98,25 +98,25 @@
     answer.
     """
     rng, back, free, told = random.Random(seed), 8.0, 8.0, []
-    fleet = [Freshness(False, 10.0) for _ in range(routers)]
+    fleet = [WatchSchedule(False, 10.0) for _ in range(routers)]
     calls: list[tuple[float, int]] = []
-    for number, clock in enumerate(fleet):
-        clock.first(-20.0, rng.random())
-        clock.began(-20.0)
-        clock.sign(-0.01 * rng.random())
-        heapq.heappush(calls, (clock.lost(0.0), number))
+    for number, schedule in enumerate(fleet):
+        schedule.first_pause(-20.0, rng.random())
+        schedule.call_started(-20.0)
+        schedule.heartbeat(-0.01 * rng.random())
+        heapq.heappush(calls, (schedule.retry_pause(0.0), number))
     while calls and calls[0][0] < 60.0:
         now, number = heapq.heappop(calls)
-        clock = fleet[number]
-        clock.began(now)
-        clock.met(now)
+        schedule = fleet[number]
+        schedule.call_started(now)
+        schedule.connected(now)
         answered = now >= back and max(free, now) - now <= IN_TURN_S
         if now >= back:
             now = free = max(free, now) + 1.0 / answers_per_s
         if answered:
             told.append(now - back)
         else:
-            heapq.heappush(calls, (now + clock.lost(now), number))
+            heapq.heappush(calls, (now + schedule.retry_pause(now), number))
     return told
 
 
@@ -137,19 +137,19 @@
 def test_processes_that_start_together_ask_one_after_the_other() -> None:
     """A call that waits in a crowd in vain is worse than a late one: what was refused is told sooner."""
     draws = [random.Random(router).random() for router in range(200)]
-    firsts = sorted(Freshness(False, 10.0).first(0.0, draw) for draw in draws)
+    firsts = sorted(WatchSchedule(False, 10.0).first_pause(0.0, draw) for draw in draws)
     assert max(sum(at <= first < at + 0.1 for first in firsts) for at in firsts) < 20 and firsts[-1] <= 3.0
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.1, 0.3, 0.5, 0.7, 0.9, 1.0])
 def test_a_move_leaves_less_time(draw: float) -> None:
-    clock = Freshness(False, 10.0)
-    clock.first(0.0, draw)
-    clock.sign(50.0)
-    clock.moved(51.0)
-    clock.began(51.0)
-    at = clock.deadline  # the other discovery can't be reached at first
-    assert at + clock.lost(at) + IN_TURN_S < 51.0 + 4.0
+    schedule = WatchSchedule(False, 10.0)
+    schedule.first_pause(0.0, draw)
+    schedule.heartbeat(50.0)
+    schedule.address_changed(51.0)
+    schedule.call_started(51.0)
+    at = schedule.deadline  # the other discovery can't be reached at first
+    assert at + schedule.retry_pause(at) + IN_TURN_S < 51.0 + 4.0
 
 
 def test_the_resolver_keeps_to_the_clock() -> None:
@@ -205,5 +205,5 @@
 
 
 def test_the_steps_of_a_call_leave_room_for_the_next_one() -> None:
-    for longest in (freshness.FIRST_S, freshness.SIGN_S, freshness.DIAL_S):
-        assert longest + freshness.SHORTEST_PAUSE_S + freshness.ANSWER_S + freshness.SLACK_S <= TOLD_S
+    for longest in (freshness.ANSWER_TIMEOUT_S, freshness.HEARTBEAT_TIMEOUT_S, freshness.CONNECT_TIMEOUT_S):
+        assert longest + freshness.MIN_PAUSE_S + freshness.ANSWER_S + freshness.SLACK_S <= TOLD_S
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -391,7 +391,7 @@
 async def test_a_watch_that_is_refused_ends_or_stalls_is_asked_for_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(freshness, "SIGN_S", 0.1)
+    monkeypatch.setattr(freshness, "HEARTBEAT_TIMEOUT_S", 0.1)
     engine = Engine()
     discovery = Discovery(engine)
     discovery.refuse = 1
