--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -1,4 +1,4 @@
-"""Call attempts and probes at an engine that speaks the platform's protocol."""
+"""Attempts and probes at a server over the platform's protocol."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 from ..server_client import PooledServerClient, ServerProtocolError
 from .fields import HttpPayload
 
-LARGEST_LINE = 16 * 1024
-# The request is at fault, not the engine: another would say the same, so the client gets this word as it is.
-VERDICTS = frozenset(range(400, 500)) - {408, 425, 429}
-# A faulty engine may send an answer twice, the second one some milliseconds late, and HTTP/1.1 can't tell it
-# from the answer to the next request. What comes while a connection rests shows that it can't be used again.
-REST_S = 0.02
-FIELD_NAMES = (b"data", b"", b"event", b"id", b"retry")  # of an event stream; an empty one is a comment
-BLANK = (b"", b"\r")
-REPORT_LINE = b": " + LOAD_REPORT_HEADER.encode() + b":"
+MAX_SHORT_BODY_BYTES = 16 * 1024
+# Statuses that reject the request itself. Another server would reject it too, so the status is forwarded to
+# the client.
+REQUEST_ERROR_STATUSES = frozenset(range(400, 500)) - {408, 425, 429}
+# A faulty server may repeat an answer some milliseconds later, and HTTP/1.1 can't distinguish the repetition
+# from the answer to the next request. A connection that receives bytes during this idle time is not used
+# again.
+MIN_IDLE_S = 0.02
+EVENT_FIELD_NAMES = (b"data", b"", b"event", b"id", b"retry")  # an empty name starts a comment
+BLANK_LINES = (b"", b"\r")
+LOAD_REPORT_PREFIX = b": " + LOAD_REPORT_HEADER.encode() + b":"
 
 
 class ServerConnection:
-    """A connection to an engine, with its parser."""
+    """A connection to a server, with its HTTP parser."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
@@ -40,6 +42,7 @@
         return not self.connection.stale
 
     async def next_event(self) -> h11.Event:
+        """Return the next event of the answer; ServerProtocolError for invalid HTTP."""
         while True:
             try:
                 event = self.parser.next_event()
@@ -48,46 +51,47 @@
             if event is h11.NEED_DATA:
                 self.parser.receive_data(await self.connection.receive())
             elif event is h11.PAUSED:
-                raise ConnectionLost("bytes after the answer")
+                raise ConnectionLost("unexpected bytes after the answer")
             else:
                 return event  # type: ignore[return-value]
 
-    async def head(self) -> h11.Response:
-        """The answer's head; informational ones in front of it are passed over."""
+    async def read_head(self) -> h11.Response:
+        """Return the head of the answer, skipping informational responses."""
         while True:
             if not self.parser.trailing_data[0] and not self.connection.unread:
-                await self.connection.fill()  # for as long as the caller waits
-            with trio.move_on_after(server_client.FIRST_EVENT_TIMEOUT_S) as opening:
+                await self.connection.fill()  # bounded by the caller's deadline alone
+            with trio.move_on_after(server_client.FIRST_EVENT_TIMEOUT_S) as timeout:
                 event = await self.next_event()
-            if opening.cancelled_caught:
-                raise ConnectionLost("a head without an end")
+            if timeout.cancelled_caught:
+                raise ConnectionLost("incomplete head of the answer")
             if isinstance(event, h11.Response):
                 coding = dict(event.headers).get(b"transfer-encoding")
                 self.chunked = coding == b"chunked"
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise ConnectionLost("closed without an answer")
+                raise ConnectionLost("connection closed without an answer")
 
     async def send(self, request: h11.Request, body: bytes = b"") -> None:
+        """Write a whole request."""
         parts = [self.parser.send(request) or b""]
-        if body:  # passed through as it is: a copy of each body in flight would weigh on the memory limit
+        if body:  # not copied: copies of all bodies in flight would count against the memory limit
             parts += self.parser.send_with_data_passthrough(h11.Data(data=body)) or []
         parts.append(self.parser.send(h11.EndOfMessage()) or b"")
         await self.connection.send(*parts)
 
-    async def rest(self) -> bytes:
-        """The body of a short answer."""
+    async def read_short_body(self) -> bytes:
+        """Return the body of an answer that is expected to be short."""
         parts = []
         while not isinstance(event := await self.next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
-                raise ConnectionLost("the answer was cut off")
+                raise ConnectionLost("connection closed within the answer")
             parts.append(bytes(event.data))
-            if sum(map(len, parts)) > LARGEST_LINE:
-                raise ConnectionLost("the answer is too long")
+            if sum(map(len, parts)) > MAX_SHORT_BODY_BYTES:
+                raise ConnectionLost("the body of the answer is too long")
         return b"".join(parts)
 
     def renew(self) -> bool:
-        # Guards the next request: what came behind this answer is not its answer.
+        # Bytes after this answer must not be taken for the answer to the next request.
         if self.parser.trailing_data[0] or self.connection.unread:
             return False
         if self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE:
@@ -95,56 +99,58 @@
         return self.parser.our_state is h11.IDLE
 
 
-class Events:
-    """Cuts whole events out of a stream, and reads the usage event and the closing load report on the way."""
+class EventSplitter:
+    """Splits a stream into whole events, and reads the usage event and the final load report."""
 
     def __init__(self) -> None:
         self.cached_tokens = 0
         self.load: dict[Metric, float] = {}
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> bytes:
-        """The events that are whole now, unchanged. Guards the client against noise, and the memory against
-        an event that never ends; ProtocolFault for what no event stream holds.
+        """Return the events that the data completes, unchanged.
+
+        Raises ServerProtocolError for invalid lines, which must not reach the client, and for an event that
+        exceeds the memory limit.
         """
-        self._held += data
-        end = self._held.rfind(b"\n\n") + 2
+        self._buffer += data
+        end = self._buffer.rfind(b"\n\n") + 2
         if end == 1:
-            end = self._held.rfind(b"\n\r\n") + 3
+            end = self._buffer.rfind(b"\n\r\n") + 3
             if end == 2:
-                if len(self._held) > server_client.MAX_EVENT_BYTES:
-                    raise ServerProtocolError("an event without an end")
+                if len(self._buffer) > server_client.MAX_EVENT_BYTES:
+                    raise ServerProtocolError("event too large")
                 return b""
-        whole = bytes(self._held[:end])
-        del self._held[:end]
-        self._read(whole)
-        return whole
-
-    def rest(self) -> bytes:
-        """What is left at the stream's end: an event that lacks its blank line, or nothing."""
-        rest = bytes(self._held)
-        self._read(rest)
-        return rest
-
-    def _read(self, data: bytes) -> None:
+        events = bytes(self._buffer[:end])
+        del self._buffer[:end]
+        self._parse(events)
+        return events
+
+    def remainder(self) -> bytes:
+        """Return what is left at the end of the stream: an event without its blank line, or nothing."""
+        remainder = bytes(self._buffer)
+        self._parse(remainder)
+        return remainder
+
+    def _parse(self, data: bytes) -> None:
         for line in data.split(b"\n"):
-            if line.startswith(REPORT_LINE):
-                self.load = parse_load(line[len(REPORT_LINE) :].decode("latin-1"))
+            if line.startswith(LOAD_REPORT_PREFIX):
+                self.load = parse_load(line[len(LOAD_REPORT_PREFIX) :].decode("latin-1"))
             elif line.startswith(b"data: {") and b'"usage"' in line:
-                self._usage(line[6:])
-            elif line not in BLANK and line.partition(b":")[0].rstrip(b"\r") not in FIELD_NAMES:
-                raise ServerProtocolError("not an event stream")
+                self._parse_usage(line[6:])
+            elif line not in BLANK_LINES and line.partition(b":")[0].rstrip(b"\r") not in EVENT_FIELD_NAMES:
+                raise ServerProtocolError("invalid line in the event stream")
 
-    def _usage(self, text: bytes) -> None:
+    def _parse_usage(self, text: bytes) -> None:
         try:
             cached = json.loads(text)["usage"]["prompt_tokens_details"]["cached_tokens"]
             self.cached_tokens = int(cached)
         except (ValueError, TypeError, LookupError, OverflowError, RecursionError):
-            pass  # an engine may leave it out, or write anything
+            pass  # the usage event is optional, and a server may write anything there
 
 
 class HttpServerClient(PooledServerClient[ServerConnection, ServerConnection]):
-    """Call attempts and probes at one engine over HTTP/1.1."""
+    """Attempts and probes at one server over HTTP/1.1."""
 
     def __init__(
         self,
@@ -154,15 +160,19 @@
         conn_idle_s: float,
         probe_path: str,
         dial: Dial = dial,
-        most_idle: int = 1 << 30,
+        max_idle: int = 1 << 30,
     ) -> None:
         super().__init__(
-            Pool(address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial, most_idle, REST_S)
+            Pool(
+                address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial, max_idle, MIN_IDLE_S
+            )
         )
         self._host = address.encode()
         self._probe_path = probe_path.encode()
 
-    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> ServerConnection:
+    async def send(
+        self, connection: ServerConnection, rpc: RPC, progress: AttemptProgress
+    ) -> ServerConnection:
         payload = rpc.payload
         assert isinstance(payload, HttpPayload)
         request = h11.Request(
@@ -177,51 +187,53 @@
                 *payload.other_fields,
             ],
         )
-        await line.send(request, payload.body)
-        return line
+        await connection.send(request, payload.body)
+        return connection
 
     async def answer(self, exchange: ServerConnection, progress: AttemptProgress) -> AttemptResult:
-        head = await exchange.head()
+        head = await exchange.read_head()
         headers = dict(head.headers)
         load = parse_load(headers.get(LOAD_REPORT_HEADER.lower().encode(), b"").decode("latin-1"))
         if head.status_code != 200:
             never_ran = head.status_code in (503, 504) and headers.get(b"x-never-ran") == b"1"
             note = f"HTTP {head.status_code}"
-            await exchange.rest()
-            if head.status_code in VERDICTS:
+            await exchange.read_short_body()
+            if head.status_code in REQUEST_ERROR_STATUSES:
                 return AttemptResult(Status.OK, load, note=note, server_status=head.status_code)
             return AttemptResult(Status.FULL if never_ran else Status.ERROR, load, note=note)
-        events = Events()
-        events.load = load
-        limit, chunk = server_client.FIRST_EVENT_TIMEOUT_S, bytearray()
+        splitter = EventSplitter()
+        splitter.load = load
+        timeout_s, chunk = server_client.FIRST_EVENT_TIMEOUT_S, bytearray()
         while True:
-            with trio.move_on_after(limit) as silence:
-                whole = b""
-                while not whole:
+            with trio.move_on_after(timeout_s) as timeout:
+                events = b""
+                while not events:
                     event = await exchange.next_event()
                     if isinstance(event, h11.EndOfMessage):
-                        if rest := events.rest():
-                            await progress.forward_event(rest)
-                        return AttemptResult(Status.OK, events.load, events.cached_tokens)
+                        if remainder := splitter.remainder():
+                            await progress.forward_event(remainder)
+                        return AttemptResult(Status.OK, splitter.load, splitter.cached_tokens)
                     if not isinstance(event, h11.Data):
-                        raise ConnectionLost("the stream was cut off")
-                    # A chunk counts once it has come to its end: what is in one of the wrong size, or in one
-                    # that never ends, is no event.
+                        raise ConnectionLost("connection closed within the stream")
+                    # A chunk is used once it is complete: one with a wrong size or without an end holds no
+                    # valid events.
                     chunk += event.data
                     if len(chunk) > server_client.MAX_EVENT_BYTES:
-                        raise ServerProtocolError("a chunk too large")
+                        raise ServerProtocolError("chunk too large")
                     if event.chunk_end or not exchange.chunked:
-                        whole = events.feed(bytes(chunk))
+                        events = splitter.feed(bytes(chunk))
                         chunk.clear()
-            if silence.cancelled_caught:
-                raise ConnectionLost("silent within a stream")
-            limit = server_client.EVENT_GAP_TIMEOUT_S
-            await progress.forward_event(whole)
-
-    async def ask_load(self, line: ServerConnection) -> AttemptResult:
-        await line.send(h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)]))
-        head = await line.head()
-        body = (await line.rest()).decode("latin-1")
+            if timeout.cancelled_caught:
+                raise ConnectionLost("no event in time within the stream")
+            timeout_s = server_client.EVENT_GAP_TIMEOUT_S
+            await progress.forward_event(events)
+
+    async def ask_load(self, connection: ServerConnection) -> AttemptResult:
+        await connection.send(
+            h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)])
+        )
+        head = await connection.read_head()
+        body = (await connection.read_short_body()).decode("latin-1")
         text = body.strip() or dict(head.headers).get(LOAD_REPORT_HEADER.lower().encode(), b"").decode(
             "latin-1"
         )
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: HTTP/1.1 clients, one RPC at a time on a connection."""
+"""The platform's front: client connections over HTTP/1.1, with one RPC at a time on each."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from .arrivals import Arrivals
 from .fields import SERVED_PATH, BadRequest, HttpPayload, end_to_end, rpc_from, unique_fields
 
-LARGEST_HEAD = 16 * 1024
-# Bytes kept of requests that a client sends before it has been answered: one of the largest. Later ones are
-# read and dropped, since the client's close can only be seen behind them; the first of them gets a 503.
-LARGEST_AHEAD = limits.MAX_BODY_BYTES + LARGEST_HEAD
-LEAST_WAIT_S = 0.001  # of who has given up already: the module ends it
-IDLE_S = 5.0  # between requests; the platform allows 2 s, and clients come again over a new connection
+MAX_HEAD_BYTES = 16 * 1024
+# The limit on buffered bytes of pipelined requests: one of the largest. Further ones are read and discarded,
+# since the client's close can only be detected after them; the first of them gets a 503.
+MAX_PIPELINED_BYTES = limits.MAX_BODY_BYTES + MAX_HEAD_BYTES
+MIN_EXPIRES_IN_S = 0.001  # for a request whose deadline has passed already: the decision module fails it
+IDLE_TIMEOUT_S = 5.0  # between requests; the platform requires 2 s, and clients reconnect after a close
 CLOSE = (b"connection", b"close")
 STREAM_HEAD = [(b"content-type", b"text/event-stream"), (b"cache-control", b"no-cache")]
 
 
 class ClientStalled(ConnectionLost):
-    """The client has taken nothing of its answer for too long."""
+    """The client has not read its answer for too long."""
 
 
-class Answered(Exception):
-    """The request gets this plain answer, without the core."""
+class ImmediateAnswer(Exception):
+    """Raised to answer a request with a plain status and text, without the core."""
 
     def __init__(self, status: int, text: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
         super().__init__(text)
@@ -39,21 +39,21 @@
 
 
 class ClientConnection:
-    """The actor of one client connection, and the sink of the RPC that is on it."""
+    """The actor of one client connection, and the sink of its current RPC."""
 
     def __init__(self, front: HttpFront, connection: Connection) -> None:
         self.front = front
         self.connection = connection
-        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=LARGEST_HEAD)
-        # Cancelled to close the connection between requests. A scope serves once, so there is one a wait:
-        # with a single one every kept connection died at its second request.
+        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        # Cancelled to close the connection between requests. Each wait has its own scope, since a scope can
+        # be used only once: with a single one every kept-alive connection failed at its second request.
         self.waiting: trio.CancelScope | None = None
         self.connected_at = trio.current_time()
         self.stage, self.since = Stage.SILENT, self.connected_at
-        self.has_sent_request = self.hung_up = False
-        self.reserved_bytes = self.ahead_bytes = 0
+        self.has_sent_request = self.is_closing = False
+        self.reserved_bytes = self.pipelined_bytes = 0
         self.arrivals = Arrivals(self.connected_at)
-        self.dropping = False  # more was sent ahead than is kept: what comes now is read and dropped
+        self.is_discarding = False  # too much was pipelined: further bytes are read and discarded
         self.final: FinalAnswer | None = None
         self.finished = trio.Event()
         self.head_sent = False
@@ -64,7 +64,7 @@
         return self.stage in (Stage.HALF, Stage.TAKEN)
 
     def close_if_idle(self) -> bool:
-        if self.hung_up:  # its last answer may be unread, and a close could turn it into a reset
+        if self.is_closing:  # its last answer may be unread, and an immediate close could reset it
             return False
         idle = self.waiting is not None and not self.waiting.cancel_called
         if self.waiting is not None:
@@ -78,24 +78,27 @@
     def evict(self) -> None:
         self.connection.close()
         self.release_body()
-        self.reach(Stage.TAKEN)  # of its own end; nothing more to give
+        self.set_stage(Stage.TAKEN)  # takes it out of the eviction queue
 
-    def reach(self, stage: Stage) -> None:
+    def set_stage(self, stage: Stage) -> None:
+        """Enter a stage now, and update the eviction queue."""
         self.stage, self.since = stage, trio.current_time()
         self.front.queue.enter(self)
 
-    # The core's side.
+    # Called by the core: the methods of EventSink.
 
     async def send_event(self, data: bytes) -> None:
         if self.final is not None:
             raise SinkClosed
-        out = b""
+        head = b""
         if not self.head_sent:
             self.head_sent = True
             self.release_body()
-            out = self.encode(h11.Response(status_code=200, headers=[*STREAM_HEAD, *self.closing()]))
+            head = self.encode(
+                h11.Response(status_code=200, headers=[*STREAM_HEAD, *self.connection_fields()])
+            )
         try:
-            await self.write(out + self.encode(h11.Data(data=data)))
+            await self.write(head + self.encode(h11.Data(data=data)))
         except ConnectionLost:
             raise SinkClosed from None
 
@@ -106,7 +109,7 @@
     def has_client_left(self) -> bool:
         return self.connection.ended()
 
-    # The wire's side.
+    # Reading requests and writing answers.
 
     def encode(self, event: h11.Event) -> bytes:
         return self.parser.send(event) or b""
@@ -114,61 +117,64 @@
     async def write(self, data: bytes) -> None:
         with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             await self.connection.send(data)
-        if scope.cancelled_caught:  # guards memory and engines against a reader that never reads
-            raise ClientStalled("the client takes nothing")
+        if scope.cancelled_caught:  # frees memory and servers from a client that never reads
+            raise ClientStalled("the client does not read its answer")
 
-    def closing(self) -> list[tuple[bytes, bytes]]:
-        ends = self.front.draining and self.front.pass_connection is None
-        return [(b"connection", b"close")] if ends else []
+    def connection_fields(self) -> list[tuple[bytes, bytes]]:
+        """Return the fields that announce the close of the connection, if it will be closed."""
+        will_close = self.front.draining and self.front.pass_connection is None
+        return [(b"connection", b"close")] if will_close else []
 
     def release_body(self) -> None:
+        """Release the memory budget of the request's body."""
         self.front.payloads.give_back(self.reserved_bytes)
         self.reserved_bytes = 0
 
-    def release_ahead(self) -> None:
-        """What was sent ahead is parsed, or nobody's any longer."""
-        self.front.payloads.give_back(self.ahead_bytes)
-        self.ahead_bytes = 0
+    def release_pipelined(self) -> None:
+        """Release the memory budget of pipelined bytes, once they are parsed or discarded."""
+        self.front.payloads.give_back(self.pipelined_bytes)
+        self.pipelined_bytes = 0
 
     async def run(self) -> None:
+        """Serve the connection to its end."""
         try:
             while True:
                 try:
                     request = await self.next_request()
                     if request is None:
-                        await self.pass_on()
+                        await self.pass_to_successor()
                         return
                     await self.handle_request(request)
-                except Answered as answer:
+                except ImmediateAnswer as answer:
                     await self.answer(answer.status, answer.text, answer.headers)
                 finally:
                     self.release_body()
                 if self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE:
-                    await self.leave()
+                    await self.close_gracefully()
                     return
                 self.parser.start_next_cycle()
-                if self.front.closing and not self.begun():  # what has come of a request is answered
-                    await self.pass_on()
+                if self.front.closing and not self.has_next_request():  # a request that has begun is answered
+                    await self.pass_to_successor()
                     if self.front.pass_connection is None:
-                        await self.leave()
+                        await self.close_gracefully()
                     return
         except (ConnectionLost, h11.LocalProtocolError) as error:
-            self.tell_closed(error)
-        except Exception:  # a fault of ours: the client gets an answer all the same, if none has begun
+            self.log_closed(error)
+        except Exception:  # a fault in the router: the client still gets an answer if none has begun
             with suppress(ConnectionLost, h11.LocalProtocolError):
                 await self.answer(500, "fault in the router", (CLOSE,))
             raise
         finally:
-            self.release_ahead()
+            self.release_pipelined()
 
-    def tell_closed(self, error: Exception) -> None:
-        """Log the end of a connection on which an answer, or the rest of one, was owed."""
+    def log_closed(self, error: Exception) -> None:
+        """Log the end of a connection whose answer was not or only partly written."""
         left_first = self.final is not None and self.final.outcome is Outcome.GONE
         if self.owes_answer and not left_first:
             self.front.log(
                 "info",
                 "CLOSED",
-                "connection ended with an answer owed",
+                "connection closed before its answer was written",
                 rpc=self.rpc_key,
                 stage=self.stage.value,
                 head_sent=self.head_sent,
@@ -178,74 +184,80 @@
             if not broken and not isinstance(error, ClientStalled) and not self.has_client_left():
                 self.front.core.closed_without_answer(self.rpc_key, str(error))
 
-    async def leave(self) -> None:
-        """End the connection behind something that was just written. What still comes is nobody's any more,
-        and its sender learns so by the end of ours.
+    async def close_gracefully(self) -> None:
+        """Close the connection after what was just written, so that the client can read it.
+
+        Bytes that still arrive are discarded; the end of the router's side signals this to the client.
         """
-        if not self.hung_up:
-            self.hung_up = True
+        if not self.is_closing:
+            self.is_closing = True
             with trio.CancelScope() as self.waiting:
-                self.reach(Stage.IDLE)
+                self.set_stage(Stage.IDLE)
                 await self.connection.hang_up(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
 
-    def begun(self) -> bool:
-        """Whether a part of the next request has been read."""
-        return self.dropping or self.parser.trailing_data[0] != b"" or bool(self.connection.unread)
+    def has_next_request(self) -> bool:
+        """Return whether a part of the next request has been received."""
+        return self.is_discarding or self.parser.trailing_data[0] != b"" or bool(self.connection.unread)
+
+    async def pass_to_successor(self) -> None:
+        """Pass the connection, with its unread bytes in the kernel, to the successor process if there is one.
 
-    async def pass_on(self) -> None:
-        """Leave the connection to the process that follows, if there is one; what the kernel holds unread of
-        it goes along. Guards what crosses: a close would reset a request that is on its way.
+        A close instead would reset a request that is in transit.
         """
-        if self.front.closing and self.front.pass_connection is not None and not self.begun():
+        if self.front.closing and self.front.pass_connection is not None and not self.has_next_request():
             await self.front.pass_connection(self.connection)
 
     async def next_request(self) -> h11.Request | None:
-        """The next head; None at the connection's end."""
-        head_by = self.connected_at + limits.HEAD_TIMEOUT_S
-        if not self.begun():
-            self.release_ahead()
-            patience = (
+        """Return the head of the next request; None at the end of the connection."""
+        head_deadline = self.connected_at + limits.HEAD_TIMEOUT_S
+        if not self.has_next_request():
+            self.release_pipelined()
+            timeout_s = (
                 limits.DRAINING_FIRST_BYTE_TIMEOUT_S
                 if self.front.closing
-                else IDLE_S
+                else IDLE_TIMEOUT_S
                 if self.has_sent_request
                 else limits.HEAD_TIMEOUT_S
             )
-            with trio.move_on_after(patience) as self.waiting:
-                self.reach(Stage.IDLE if self.has_sent_request else Stage.SILENT)
+            with trio.move_on_after(timeout_s) as self.waiting:
+                self.set_stage(Stage.IDLE if self.has_sent_request else Stage.SILENT)
                 if not await self.connection.fill():
                     return None
             self.waiting = None
-            if not self.connection.unread and (self.front.pass_connection or not await self.came_meanwhile()):
+            if not self.connection.unread and (
+                self.front.pass_connection or not await self.received_meanwhile()
+            ):
                 return None
-        self.reach(Stage.HALF)
+        self.set_stage(Stage.HALF)
         if self.has_sent_request:
-            head_by = trio.current_time() + limits.HEAD_TIMEOUT_S
+            head_deadline = trio.current_time() + limits.HEAD_TIMEOUT_S
         self.has_sent_request = True
-        with trio.move_on_at(head_by):
+        with trio.move_on_at(head_deadline):
             request = await self.next_event()
             return request if isinstance(request, h11.Request) else None
-        raise Answered(408, "the head did not arrive in time", (CLOSE,))
+        raise ImmediateAnswer(408, "the head did not arrive in time", (CLOSE,))
 
-    async def came_meanwhile(self) -> bool:
-        """Guards a request that comes in the moment in which its connection was to be closed."""
+    async def received_meanwhile(self) -> bool:
+        """Return whether a request has arrived just when its connection was to be closed."""
         return self.connection.readable and bool(await self.connection.fill())
 
     async def next_event(self) -> h11.Event | None:
-        """The parser's next event; None when the client has ended its sending."""
+        """Return the next event of a request; None when the client has closed its sending side."""
         while True:
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
                 if self.parser.their_state is h11.ERROR and not self.parser.trailing_data[1]:
-                    what = str(error).partition(":")[0]  # not what the client has sent
-                    raise Answered(error.error_status_hint, f"malformed HTTP: {what}", (CLOSE,)) from None
+                    reason = str(error).partition(":")[0]  # without the bytes that the client has sent
+                    raise ImmediateAnswer(
+                        error.error_status_hint, f"malformed HTTP: {reason}", (CLOSE,)
+                    ) from None
                 return None
             if event is h11.NEED_DATA:
                 if self.parser.they_are_waiting_for_100_continue:
                     await self.write(self.encode(h11.InformationalResponse(status_code=100, headers=[])))
-                if self.dropping:
-                    raise Answered(503, "too much was sent ahead", (CLOSE,))
+                if self.is_discarding:
+                    raise ImmediateAnswer(503, "too much was sent ahead", (CLOSE,))
                 data = await self.connection.receive()
                 self.since = trio.current_time()
                 self.front.queue.enter(self)
@@ -257,26 +269,29 @@
                 return event  # type: ignore[return-value]
 
     async def handle_request(self, request: h11.Request) -> None:
+        """Answer a request, by its path."""
         path = request.target.partition(b"?")[0].decode("latin-1")
         if path == "/up":
-            self.require(request, b"GET")
-            await self.body()
+            self.require_method(request, b"GET")
+            await self.read_body()
             ready = self.front.is_ready()
             await self.answer(200 if ready else 503, "ready" if ready else "not ready")
         elif path == SERVED_PATH:
-            self.require(request, b"POST")
-            await self.call(request)
+            self.require_method(request, b"POST")
+            await self.handle_rpc(request)
         else:
-            raise Answered(404, "no such path")
+            raise ImmediateAnswer(404, "no such path")
 
     @staticmethod
-    def require(request: h11.Request, method: bytes) -> None:
+    def require_method(request: h11.Request, method: bytes) -> None:
+        """Raise the answer 405 if the request has another method."""
         if request.method != method:
-            raise Answered(405, "method not allowed", ((b"allow", method),))
+            raise ImmediateAnswer(405, "method not allowed", ((b"allow", method),))
 
-    async def body(self, length: bytes = b"0") -> bytes:
+    async def read_body(self, length: bytes = b"0") -> bytes:
+        """Return the body of the request, whose Content-Length is `length`."""
         if length.isdigit() and int(length) > limits.MAX_BODY_BYTES:
-            raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
+            raise ImmediateAnswer(413, "the body is larger than 256 KiB", (CLOSE,))
         parts: list[bytes] = []
         size = 0
         with trio.move_on_after(limits.BODY_TIMEOUT_S):
@@ -284,78 +299,81 @@
                 with trio.move_on_after(limits.STALL_TIMEOUT_S) as stall:
                     event = await self.next_event()
                 if stall.cancelled_caught:
-                    raise Answered(408, "the body does not go on", (CLOSE,))
+                    raise ImmediateAnswer(408, "the body does not go on", (CLOSE,))
                 if isinstance(event, h11.EndOfMessage):
-                    self.reach(Stage.TAKEN)
+                    self.set_stage(Stage.TAKEN)
                     return b"".join(parts)
                 if not isinstance(event, h11.Data):
-                    raise ConnectionLost("the client left within its body")
+                    raise ConnectionLost("the client closed the connection within its body")
                 size += len(event.data)
                 if size > limits.MAX_BODY_BYTES:
-                    raise Answered(413, "the body is larger than 256 KiB", (CLOSE,))
+                    raise ImmediateAnswer(413, "the body is larger than 256 KiB", (CLOSE,))
                 if not self.front.reserve_payload(self, len(event.data)):
-                    raise Answered(503, "too many large requests", ((b"retry-after", b"1"), CLOSE))
+                    raise ImmediateAnswer(503, "too many large requests", ((b"retry-after", b"1"), CLOSE))
                 parts.append(bytes(event.data))
-        raise Answered(408, "the body did not arrive in time", (CLOSE,))
+        raise ImmediateAnswer(408, "the body did not arrive in time", (CLOSE,))
 
-    async def call(self, request: h11.Request) -> None:
-        # Checked before the body is read: what can't be used is answered whatever it says of its length.
+    async def handle_rpc(self, request: h11.Request) -> None:
+        """Submit the RPC of a request to the core, and write its answer."""
+        # Checked before the body is read, so that an invalid request is answered whatever its stated length.
         core = self.front.core
         self.final, self.finished, self.head_sent = None, trio.Event(), False
         try:
             headers = unique_fields(request.headers)
             rpc = rpc_from(headers, request.target, core.classes, core.tenants, self)
         except BadRequest as error:
-            raise Answered(400, str(error), (CLOSE,)) from None
+            raise ImmediateAnswer(400, str(error), (CLOSE,)) from None
         assert isinstance(rpc.payload, HttpPayload)
         rpc.payload = replace(rpc.payload, other_fields=end_to_end(request.headers))
-        # In no local variable: it would hold the body for as long as the answer streams, uncounted.
-        rpc.payload = replace(rpc.payload, body=await self.body(headers.get(b"content-length", b"0")))
+        # Not kept in a local variable, which would keep the body in memory, uncounted, while the answer
+        # streams.
+        rpc.payload = replace(rpc.payload, body=await self.read_body(headers.get(b"content-length", b"0")))
         if self.front.is_refusing:
-            raise Answered(503, "stopping", (CLOSE,))
-        # One that waited behind another's answer: its client's clock ran meanwhile.
+            raise ImmediateAnswer(503, "stopping", (CLOSE,))
+        # The client's timeout also ran while a pipelined request waited for the answers before it.
         arrived_at = self.arrivals.of_last_parsed(len(self.parser.trailing_data[0]))
-        rpc.expires_in_s = max(rpc.expires_in_s - (trio.current_time() - arrived_at), LEAST_WAIT_S)
+        rpc.expires_in_s = max(rpc.expires_in_s - (trio.current_time() - arrived_at), MIN_EXPIRES_IN_S)
         try:
             core.submit(rpc)
             self.rpc_key = rpc.key
         except Overloaded:
-            raise Answered(503, "too many open requests", ((b"retry-after", b"1"),)) from None
+            raise ImmediateAnswer(503, "too many open requests", ((b"retry-after", b"1"),)) from None
         except NameTaken:
-            raise Answered(409, "X-Trace-Id is that of an open request", (CLOSE,)) from None
+            raise ImmediateAnswer(409, "X-Trace-Id is that of an open request", (CLOSE,)) from None
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.watch, rpc)
+                nursery.start_soon(self.watch_client, rpc)
                 await self.finished.wait()
                 nursery.cancel_scope.cancel()
         finally:
-            core.client_gone(rpc)  # of no effect once it is answered
+            core.client_gone(rpc)  # does nothing once the RPC is answered
         await self.conclude()
 
-    async def watch(self, rpc: RPC) -> None:
-        """Read on until the client closes, and tell the core when it does."""
-        reason = "end of its sending"
+    async def watch_client(self, rpc: RPC) -> None:
+        """Read on until the client disconnects, then report that to the core."""
+        reason = "the client closed its sending side"
         try:
             while data := await self.connection.receive():
-                self.keep_ahead(data)
+                self.buffer_pipelined(data)
         except ConnectionLost as error:
             reason = str(error)
         self.front.core.client_gone(rpc, reason)
 
-    def keep_ahead(self, data: bytes) -> None:
-        """Keep what belongs to later requests for the parser, within the bounds on memory."""
-        room = self.ahead_bytes + len(data) <= LARGEST_AHEAD
-        if self.dropping or not room or not self.front.payloads.take(len(data)):
-            self.dropping = True
+    def buffer_pipelined(self, data: bytes) -> None:
+        """Buffer bytes of pipelined requests in the parser, within the memory limits, or discard them."""
+        fits = self.pipelined_bytes + len(data) <= MAX_PIPELINED_BYTES
+        if self.is_discarding or not fits or not self.front.payloads.take(len(data)):
+            self.is_discarding = True
             return
-        self.ahead_bytes += len(data)
+        self.pipelined_bytes += len(data)
         self.arrivals.add(len(data), trio.current_time())
         self.parser.receive_data(data)
 
     async def conclude(self) -> None:
+        """Write the final answer, or what is left of it."""
         final = self.final
         assert final is not None
-        if isinstance(final.server_status, int):  # an engine's own word on a faulty request
+        if isinstance(final.server_status, int):  # the server's own answer to an invalid request
             await self.answer(final.server_status, "the engine can't use the request")
         elif final.outcome is Outcome.SERVED:
             if not self.head_sent:
@@ -368,32 +386,35 @@
             await self.answer(503, f"refused: {final.cause.value}", advice)
         elif final.outcome is Outcome.FAILED:
             await self.answer(504 if final.cause.value == "deadline" else 502, "failed")
-        else:  # broken or gone: the connection ends here, without the last chunk
+        else:  # broken or gone: the connection is closed without the last chunk
             if final.outcome is Outcome.BROKEN:
-                await self.leave()
-            raise ConnectionLost("stream broken")
+                await self.close_gracefully()
+            raise ConnectionLost("the response stream broke")
 
     async def answer(self, status: int, text: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+        """Write a plain answer; `headers` with `CLOSE` also closes the connection after it."""
         if self.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            raise ConnectionLost("an answer has begun")
+            raise ConnectionLost("an answer has already begun")
         body = text.encode() + b"\n"
         head = [(b"content-type", b"text/plain"), (b"content-length", str(len(body)).encode()), *headers]
-        if self.parser.their_state is h11.SEND_BODY and CLOSE not in headers:  # nobody will read its body
+        if (
+            self.parser.their_state is h11.SEND_BODY and CLOSE not in headers
+        ):  # the rest of its body will not be read
             headers, head = (*headers, CLOSE), [*head, CLOSE]
         if CLOSE not in headers:
-            head += self.closing()
-        out = self.encode(h11.Response(status_code=status, headers=head))
-        out += self.encode(h11.Data(data=body)) + self.encode(h11.EndOfMessage())
-        await self.write(out)
-        if CLOSE in headers:  # the client was at fault: whatever it still sends is not for us
-            await self.leave()
+            head += self.connection_fields()
+        data = self.encode(h11.Response(status_code=status, headers=head))
+        data += self.encode(h11.Data(data=body)) + self.encode(h11.EndOfMessage())
+        await self.write(data)
+        if CLOSE in headers:  # the request was invalid: what the client still sends is not parsed
+            await self.close_gracefully()
 
 
 class HttpFront(Front[ClientConnection]):
     """The client connections that speak HTTP/1.1."""
 
-    draining = False  # answers say `Connection: close`
-    closing = False  # connections end after their answer
+    draining = False  # answers carry `Connection: close`
+    closing = False  # connections are closed after their answer
 
     def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -16,7 +16,7 @@
 from sorreldock.kserve.framing import Code
 from sorreldock.protocol import front as limits
 from sorreldock.protocol import server_client
-from sorreldock.protocol.http.client import Events
+from sorreldock.protocol.http.client import EventSplitter
 from sorreldock.transport import admission
 from sorreldock.transport.budget import Use
 
@@ -281,12 +281,12 @@
 def test_events_are_cut_where_they_end_and_are_never_changed() -> None:
     whole = b": hello\n\nevent: x\ndata: 1\n\ndata: 2\r\n\r\ndata: 3"
     for step in (1, 3, 7, 100):
-        events, got = Events(), b""
+        events, got = EventSplitter(), b""
         for at in range(0, len(whole), step):
             part = events.feed(whole[at : at + step])
             assert not part or part.endswith((b"\n\n", b"\r\n\r\n"))
             got += part
-        assert got + events.rest() == whole
+        assert got + events.remainder() == whole
 
 
 # The same over gRPC.
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -192,7 +192,7 @@
 async def test_connections_are_reused_but_not_near_the_engines_idle_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_client, "REST_S", 0.0)
+    monkeypatch.setattr(http_client, "MIN_IDLE_S", 0.0)
     engine = Engine()
     async with among(engine) as router:
         for _ in range(3):
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -82,7 +82,7 @@
 
     async with among(Engine()) as router:
         with monkeypatch.context() as patch:
-            patch.setattr(ClientConnection, "call", fail)
+            patch.setattr(ClientConnection, "handle_rpc", fail)
             wire = await router.connect()
             await wire.stream.send_all(raw())
             assert (await all_of(wire.stream)).startswith(b"HTTP/1.1 500")
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -279,7 +279,7 @@
         wire = await router.connect()
         await wire.stream.send_all(raw(x_qos=b"nothing", length=b"999"))
         front = router.program.fronts["http"]
-        while not any(client.hung_up for client in front.clients):
+        while not any(client.is_closing for client in front.clients):
             await trio.sleep(0.005)
         await front.drain()
         await pass_by()
