--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -1,4 +1,4 @@
-"""Limits on when an attempt may be written to a server, and on which connection."""
+"""Limits on when and on which connection an attempt may be written to a server."""
 
 from __future__ import annotations
 
@@ -20,28 +20,31 @@
 
 
 @story
-async def test_a_second_answer_that_comes_late_is_not_the_next_requests() -> None:
-    spoil, engine = trio.Event(), Engine()
+async def test_a_late_duplicate_answer_is_not_taken_for_the_next_answer() -> None:
+    """A faulty server repeats its answer after the connection has become idle."""
+    send_duplicate, server = trio.Event(), Engine()
 
-    async def twice(call: Call) -> None:
+    async def answer_twice(call: Call) -> None:
         await serve_well(call)
-        await spoil.wait()
+        await send_duplicate.wait()
         await call.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
         )
 
-    engine.scripts.append(twice)
-    async with among(engine) as router:
+    server.scripts.append(answer_twice)
+    async with among(server) as router:
         assert (await router.post(x_trace_id="t0")).whole
-        got = await router.post(x_trace_id="t1")  # at once: the first connection has not rested
-        assert got.body == b"".join(EVENTS) and engine.connections == 2
-        spoil.set()
+        got = await router.post(
+            x_trace_id="t1"
+        )  # at once: the first connection has not been idle long enough
+        assert got.body == b"".join(EVENTS) and server.connections == 2
+        send_duplicate.set()
         for n in range(2, 6):
             assert (await router.post(x_trace_id=f"t{n}")).body == b"".join(EVENTS)
 
 
 def test_writing_stops_within_the_drain_grace_of_the_settings() -> None:
-    for grace_s in (0.1, 0.25, 5.0):  # though the program be held up behind its clock
+    for grace_s in (0.1, 0.25, 5.0):  # even if the process is delayed after reading its clock
         assert time_to_finish_writing(grace_s) + SCHEDULING_DELAY_S <= max(
             min(grace_s, 0.25), SCHEDULING_DELAY_S
         )
@@ -49,33 +52,33 @@
 
 
 @story
-async def test_an_attempt_is_not_written_after_its_time() -> None:
+async def test_an_attempt_is_not_written_after_its_latest_write_time() -> None:
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
-    for send_by, may in ((now - 0.001, False), (now + 60.0, True)):
+    for send_by, allowed in ((now - 0.001, False), (now + 60.0, True)):
         attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
-        assert attempt.may_send() is may
+        assert attempt.may_send() is allowed
 
 
 @story
-async def test_no_repeat_of_a_keyed_request_is_written_after_its_window(
+async def test_a_keyed_request_is_not_repeated_after_its_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The module decides within the window, and the dial outlasts it."""
+    """The repeat is decided within the window, but connecting takes until after its end."""
     window_s = 0.3
     categories = [{**c, "effect": "keyed", "window_s": window_s} for c in SETTINGS["categories"]]
-    dialled: list[float] = []
-    dial = program_serve.dialler
+    dialled_at: list[float] = []
+    make_dialler = program_serve.dialler
 
     def slow_dialler(system: Any) -> Any:
-        real = dial(system)
+        dial = make_dialler(system)
 
         async def slow(address: str, timeout_s: float, on_close: Any) -> Connection:
-            connection: Connection = await real(address, timeout_s, on_close)
+            connection: Connection = await dial(address, timeout_s, on_close)
             if address != discovery_address:
-                dialled.append(trio.current_time())
-                if len(dialled) == 2:  # the second attempt's: up only after the window
-                    await trio.sleep_until(dialled[0] + 2 * window_s)
+                dialled_at.append(trio.current_time())
+                if len(dialled_at) == 2:  # for the second attempt: connected only after the window
+                    await trio.sleep_until(dialled_at[0] + 2 * window_s)
             return connection
 
         return slow
@@ -89,17 +92,17 @@
     discovery_address = ""
     async with among(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
-        dialled.clear()
+        dialled_at.clear()
         got = await router.post()
-    assert got.status in (502, 503, 504) and len(dialled) == 2
+    assert got.status in (502, 503, 504) and len(dialled_at) == 2
     assert len(first.calls) + len(second.calls) == 1
 
 
 @story
-async def test_a_refused_connection_tells_that_no_process_listens() -> None:
+async def test_a_refused_connection_is_reported_as_no_listener() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
-        address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, and nobody listens
+        address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, but not listening
         closed = HttpServerClient(address, Descriptors(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decision actor when it has much to do: what is owed at once does not wait behind requests."""
+"""The decision actor under load: other events do not wait for the decisions on new requests."""
 
 from __future__ import annotations
 
@@ -37,55 +37,55 @@
 
 
 def slow_decisions(core: Any) -> list[Event]:
-    """Let each request take a while to decide on; what the module is told is noted."""
-    told: list[Event] = []
+    """Make each decision on a new request take a while; return the list of events the module receives."""
+    received: list[Event] = []
     handle = core._gateway.handle
 
     def slowly(now: float, events: Sequence[Event]) -> Any:
-        told.extend(events)
+        received.extend(events)
         time.sleep(DECISION_S * sum(isinstance(event, RequestArrived) for event in events))
         return handle(now, events)
 
     core._gateway.handle = slowly
-    return told
+    return received
 
 
 async def burst(router: Router, count: int, time_left: bytes) -> list[Wire]:
-    """Send so many requests at one moment: all are there before the first of them is decided on."""
+    """Send `count` requests at once, so that all arrive before the first one is decided on."""
     wires = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
     for number, wire in enumerate(wires):
-        sent = raw(x_trace_id=b"t%d" % number, x_expires_in=time_left)
-        assert os.write(wire.stream.socket.fileno(), sent) == len(sent)  # type: ignore[attr-defined]
+        data = raw(x_trace_id=b"t%d" % number, x_expires_in=time_left)
+        assert os.write(wire.stream.socket.fileno(), data) == len(data)  # type: ignore[attr-defined]
     return wires
 
 
 @story
-async def test_requests_beyond_what_can_be_decided_are_refused_at_once_and_all_are_answered_in_time() -> None:
-    engine = Engine()
-    took: list[float] = []
+async def test_requests_that_wait_too_long_for_a_decision_are_refused_and_all_are_answered_in_time() -> None:
+    server = Engine()
+    durations_s: list[float] = []
     statuses: list[int] = []
-    async with among(engine) as router:
-        told = slow_decisions(router.program.core)
+    async with among(server) as router:
+        received = slow_decisions(router.program.core)
 
         wires = await burst(router, 60, b"1000m")
         began = trio.current_time()
 
-        async def hear(wire: Any) -> None:
+        async def read_answer(wire: Any) -> None:
             statuses.append((await wire.next()).status_code)
-            took.append(trio.current_time() - began)
+            durations_s.append(trio.current_time() - began)
             await wire.stream.aclose()
 
         async with trio.open_nursery() as nursery:
             for wire in wires:
-                nursery.start_soon(hear, wire)
-    assert len(took) == 60 and set(statuses) == {200, 503}
-    assert max(took) < 1.0  # all of them decided on would take 1.2 s
-    assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in told)
+                nursery.start_soon(read_answer, wire)
+    assert len(durations_s) == 60 and set(statuses) == {200, 503}
+    assert max(durations_s) < 1.0  # deciding on all of them would take 1.2 s
+    assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in received)
 
 
 @story
-async def test_a_drain_notice_and_a_client_that_leaves_are_heard_between_slow_decisions(
+async def test_drain_notices_and_disconnects_are_processed_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, budget_s: False)
@@ -94,7 +94,7 @@
     async with among(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         core = router.program.core
-        told = slow_decisions(core)
+        received = slow_decisions(core)
         wires = await burst(router, 30, b"5000m")
         while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
@@ -104,14 +104,14 @@
         for wire in wires:
             assert (await wire.next()).status_code == 200
             await wire.stream.aclose()
-    requests = [n for n, event in enumerate(told) if isinstance(event, RequestArrived)]
-    change = next(n for n, event in enumerate(told) if isinstance(event, ReplicaList))
+    requests = [n for n, event in enumerate(received) if isinstance(event, RequestArrived)]
+    change = next(n for n, event in enumerate(received) if isinstance(event, ReplicaList))
     assert change < requests[-5]
-    assert last not in {event.request for event in told if isinstance(event, RequestArrived)}
+    assert last not in {event.request for event in received if isinstance(event, RequestArrived)}
 
 
 @story
-async def test_an_attempt_decided_in_the_batch_in_which_its_client_left_counts_as_ended() -> None:
+async def test_an_attempt_decided_in_the_same_batch_as_its_clients_disconnect_is_reported_as_ended() -> None:
     release = trio.Event()
 
     async def fail(call: Call) -> None:
@@ -125,13 +125,13 @@
         while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
             await trio.sleep(0.001)
         [subchannel] = [s for s in core.subchannels.values() if s.in_flight]
-        ended = subchannel._on_ended
+        on_ended = subchannel._on_ended
 
-        def ended_and_left(attempt: Any, report: AttemptResult, latency_s: float) -> None:
-            ended(attempt, report, latency_s)
+        def end_and_disconnect(attempt: Any, result: AttemptResult, latency_s: float) -> None:
+            on_ended(attempt, result, latency_s)
             core.client_gone(attempt.rpc)
 
-        subchannel._on_ended = ended_and_left
+        subchannel._on_ended = end_and_disconnect
         release.set()
         while core.open_rpcs:
             await trio.sleep(0.001)
@@ -141,7 +141,7 @@
     assert len(first.calls) + len(second.calls) == 1
 
 
-def test_the_mailbox_puts_requests_behind_what_is_owed_and_cuts_long_lists() -> None:
+def test_the_mailbox_delivers_requests_after_other_events_and_splits_long_lists() -> None:
     mailbox = DecisionMailbox()
     entries = tuple(ReplicaEntry(number, "a") for number in range(MAX_LIST_ENTRIES + 1))
     ended = AttemptEnded("r0", 0, 1, Status.OK, 0.1, True, 0, ())
@@ -156,12 +156,12 @@
     assert mailbox.take(16) == [arrived("r1")] and not mailbox.take(16)
 
 
-def test_a_request_waits_for_a_share_of_its_time_at_the_most() -> None:
+def test_the_wait_for_a_decision_is_limited_to_a_share_of_the_time_budget() -> None:
     assert not waits_too_long(0.09, 0.5) and waits_too_long(0.11, 0.5)
     assert waits_too_long(MAX_WAIT_S + 0.01, 60.0)
 
 
-def test_long_decisions_are_told_once_a_second() -> None:
+def test_long_decisions_are_summed_up_once_a_second() -> None:
     stats = DecisionStats(0.0)
     stats.record_batch([TimerFired("late:r1:0")], 0.02)
     stats.record_batch([arrived("r1")], 0.001)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""The clock of the watch: whatever call failed, a change is here in time; and a fleet's calls are spread."""
+"""The schedule of the watch: changes are known in time whatever call fails, and calls are spread."""
 
 from __future__ import annotations
 
@@ -18,49 +18,47 @@
 from sorreldock.routing.types import ResolverResult
 from sorreldock.transport.connection import dialler
 
-TOLD_S = 6.0  # as the platform says
-IN_TURN_S = 2.0  # for which a call may wait until discovery gives up on it
+MAX_AGE_S = 6.0  # required by the platform
+MAX_QUEUE_S = 2.0  # for which a call may wait until discovery drops it
 
-# What becomes of a call that begins before the change can be had: whether it connects, and how long until it
-# fails; None: never by itself.
-TROUBLES: dict[str, tuple[bool, float | None]] = {
+# Failures of a call that begins before the change is available: whether it connects, and the time until it
+# fails; None if it does not fail by itself.
+FAILURES: dict[str, tuple[bool, float | None]] = {
     "no listener": (False, 0.0),
     "no connection": (False, None),
     "silent": (True, None),
     "turned away at once": (True, 0.01),
-    "turned away late": (True, IN_TURN_S),
+    "turned away late": (True, MAX_QUEUE_S),
 }
 
 
-def told_after(trouble: str, must_ask_in_s: float, rng: random.Random) -> float:
-    """Seconds from the moment from which a change could be had to the one in which it is here, by a clock
-    that is moved by hand.
-    """
+def seconds_until_known(failure: str, must_ask_in_s: float, rng: random.Random) -> float:
+    """Return the time from which a change is available until it is known, on a simulated clock."""
     schedule, now, at = WatchSchedule(False, must_ask_in_s), 0.0, rng.uniform(5.0, 15.0)
-    met, lasts = TROUBLES[trouble]
+    connects, fails_after_s = FAILURES[failure]
     now += schedule.first_pause(now, rng.random())
     while True:
         schedule.call_started(now)
         if now >= at:
             schedule.connected(now)
-            now += rng.uniform(0.0, IN_TURN_S)
+            now += rng.uniform(0.0, MAX_QUEUE_S)
             assert now <= schedule.deadline
             return now - at
-        if met:
+        if connects:
             schedule.connected(now)
-        now = schedule.deadline if lasts is None else now + lasts
+        now = schedule.deadline if fails_after_s is None else now + fails_after_s
         now += schedule.retry_pause(now)
 
 
 @pytest.mark.parametrize("must_ask_in_s", [2.0, 10.0, 3600.0])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_change_is_here_in_time_whatever_call_has_failed(trouble: str, must_ask_in_s: float) -> None:
+@pytest.mark.parametrize("failure", FAILURES)
+def test_a_change_is_known_in_time_whatever_call_has_failed(failure: str, must_ask_in_s: float) -> None:
     for seed in range(500):
-        assert told_after(trouble, must_ask_in_s, random.Random(seed)) < TOLD_S, seed
+        assert seconds_until_known(failure, must_ask_in_s, random.Random(seed)) < MAX_AGE_S, seed
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_what_a_silent_watch_has_missed_is_here_in_time(pushed: bool) -> None:
+def test_a_change_missed_by_a_silent_watch_is_known_in_time(pushed: bool) -> None:
     for seed in range(200):
         rng = random.Random(seed)
         schedule = WatchSchedule(pushed, 10.0)
@@ -69,13 +67,13 @@
         schedule.connected(0.0)
         schedule.answer_started(0.5)
         for at in range(1, 9):
-            assert schedule.deadline > 2.0 * at  # a sign of life comes every 2 s
+            assert schedule.deadline > 2.0 * at  # discovery sends a heartbeat every 2 s
             schedule.heartbeat(2.0 * at)
         at = schedule.deadline
-        assert at + schedule.retry_pause(at) + IN_TURN_S < 16.0 + TOLD_S
+        assert at + schedule.retry_pause(at) + MAX_QUEUE_S < 16.0 + MAX_AGE_S
 
 
-def test_while_discovery_is_down_a_fleet_neither_hammers_nor_returns_in_step() -> None:
+def test_a_fleet_calls_an_unavailable_discovery_rarely_and_spread_over_time() -> None:
     calls: list[float] = []
     for router in range(200):
         rng, schedule = random.Random(router), WatchSchedule(False, 10.0)
@@ -84,20 +82,20 @@
         schedule.connected(0.0)
         schedule.heartbeat(1.0)
         now = 1.0
-        while (now := now + schedule.retry_pause(now)) < 9.0:  # down for 8 s, and refuses
+        while (now := now + schedule.retry_pause(now)) < 9.0:  # unavailable for 8 s, refusing connections
             schedule.call_started(now)
             calls.append(now)
-    later = [sum(at <= call < at + 0.1 for call in calls) for at in (5.0, 6.0, 7.0, 8.0)]
-    assert len(calls) < 200 * 20 and max(later) < 50
+    peaks = [sum(at <= call < at + 0.1 for call in calls) for at in (5.0, 6.0, 7.0, 8.0)]
+    assert len(calls) < 200 * 20 and max(peaks) < 50
 
 
-def told_at_return(routers: int, answers_per_s: float, seed: int) -> list[float]:
-    """Seconds from the return of a discovery that was down for 8 s until each router has its answer.
+def answer_times_after_outage(routers: int, answers_per_s: float, seed: int) -> list[float]:
+    """Return the times from the end of an 8 s outage of discovery until each router has its answer.
 
-    It takes calls in turn, turns away what has waited for over 2 s, and spends as much time on that as on an
-    answer.
+    Discovery handles calls in turn, rejects those that have waited for over 2 s, and spends as much time on a
+    rejection as on an answer.
     """
-    rng, back, free, told = random.Random(seed), 8.0, 8.0, []
+    rng, back_at, free_at, answer_times = random.Random(seed), 8.0, 8.0, []
     fleet = [WatchSchedule(False, 10.0) for _ in range(routers)]
     calls: list[tuple[float, int]] = []
     for number, schedule in enumerate(fleet):
@@ -110,51 +108,53 @@
         schedule = fleet[number]
         schedule.call_started(now)
         schedule.connected(now)
-        answered = now >= back and max(free, now) - now <= IN_TURN_S
-        if now >= back:
-            now = free = max(free, now) + 1.0 / answers_per_s
+        answered = now >= back_at and max(free_at, now) - now <= MAX_QUEUE_S
+        if now >= back_at:
+            now = free_at = max(free_at, now) + 1.0 / answers_per_s
         if answered:
-            told.append(now - back)
+            answer_times.append(now - back_at)
         else:
             heapq.heappush(calls, (now + schedule.retry_pause(now), number))
-    return told
+    return answer_times
 
 
 @pytest.mark.parametrize("routers, answers_per_s", [(20, 10.0), (60, 12.0), (200, 40.0)])
-def test_a_fleet_that_discovery_can_serve_in_5_s_is_told_within_6(routers: int, answers_per_s: float) -> None:
+def test_a_fleet_that_discovery_can_answer_in_5_s_is_up_to_date_within_6_s(
+    routers: int, answers_per_s: float
+) -> None:
     for seed in range(20):
-        told = told_at_return(routers, answers_per_s, seed)
-        assert len(told) == routers and max(told) < TOLD_S, seed
+        answer_times = answer_times_after_outage(routers, answers_per_s, seed)
+        assert len(answer_times) == routers and max(answer_times) < MAX_AGE_S, seed
 
 
-def test_a_jam_ends_though_calls_that_were_kept_waiting_are_made_again_in_time() -> None:
-    for seed in range(20):  # it takes 6 s to serve all of them, without a single call in vain
-        told = told_at_return(60, 10.0, seed)
-        late = sum(at > TOLD_S for at in told)
-        assert len(told) == 60 and max(told) < TOLD_S + IN_TURN_S and late < 20, seed
+def test_congestion_ends_although_calls_that_waited_in_vain_are_retried_in_time() -> None:
+    for seed in range(20):  # answering all of them takes 6 s even without a rejected call
+        answer_times = answer_times_after_outage(60, 10.0, seed)
+        late = sum(at > MAX_AGE_S for at in answer_times)
+        assert len(answer_times) == 60 and max(answer_times) < MAX_AGE_S + MAX_QUEUE_S and late < 20, seed
 
 
-def test_processes_that_start_together_ask_one_after_the_other() -> None:
-    """A call that waits in a crowd in vain is worse than a late one: what was refused is told sooner."""
+def test_processes_that_start_together_spread_their_first_calls() -> None:
+    """A rejected call is worse than a late one, since it ends the time for which the old list may be used."""
     draws = [random.Random(router).random() for router in range(200)]
     firsts = sorted(WatchSchedule(False, 10.0).first_pause(0.0, draw) for draw in draws)
     assert max(sum(at <= first < at + 0.1 for first in firsts) for at in firsts) < 20 and firsts[-1] <= 3.0
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.1, 0.3, 0.5, 0.7, 0.9, 1.0])
-def test_a_move_leaves_less_time(draw: float) -> None:
+def test_a_change_of_the_discovery_address_leaves_less_time(draw: float) -> None:
     schedule = WatchSchedule(False, 10.0)
     schedule.first_pause(0.0, draw)
     schedule.heartbeat(50.0)
     schedule.address_changed(51.0)
     schedule.call_started(51.0)
-    at = schedule.deadline  # the other discovery can't be reached at first
-    assert at + schedule.retry_pause(at) + IN_TURN_S < 51.0 + 4.0
+    at = schedule.deadline  # the new discovery is unreachable at first
+    assert at + schedule.retry_pause(at) + MAX_QUEUE_S < 51.0 + 4.0
 
 
-def test_the_resolver_keeps_to_the_clock() -> None:
-    """Discovery refuses, then takes calls and says nothing, then a list trickles; at last it answers."""
-    heard: list[tuple[float, ResolverResult]] = []
+def test_the_resolver_follows_the_schedule() -> None:
+    """Discovery refuses connections, then stays silent, then sends a list too slowly; at last it answers."""
+    received: list[tuple[float, ResolverResult]] = []
     line = b'{"rev":1,"all":true,"targets":[]}\n'
     head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 
@@ -166,7 +166,7 @@
         resolver = Resolver(
             "127.0.0.2:80",
             0,
-            lambda result: heard.append((trio.current_time(), result)),
+            lambda result: received.append((trio.current_time(), result)),
             lambda *args, **fields: None,
             dialler(VirtualSystem(here, 1)),
             seed=3,
@@ -177,11 +177,11 @@
             if trio.current_time() < 12.0:
                 await trio.sleep_forever()
             await sock.send_all(head)
-            trickles = trio.current_time() < 18.0
-            with suppress(ConnectionResetError):  # once the router has left
-                for at in range(0, len(line), 4 if trickles else len(line)):
-                    await sock.send_all(chunk(line[at : at + (4 if trickles else len(line))]))
-                    await trio.sleep(1.0 if trickles else 2.0)
+            slow = trio.current_time() < 18.0
+            with suppress(ConnectionResetError):  # once the router has disconnected
+                for at in range(0, len(line), 4 if slow else len(line)):
+                    await sock.send_all(chunk(line[at : at + (4 if slow else len(line))]))
+                    await trio.sleep(1.0 if slow else 2.0)
                 while True:
                     await sock.send_all(chunk(b"\n"))
                     await trio.sleep(2.0)
@@ -200,10 +200,10 @@
     with seeded(1):
         network = Network(random.Random(1), Weather(), lambda line: None)
         trio.run(story, network, clock=world_clock(network.next_at, network.advance))
-    lists = [at for at, result in heard if result.version]
-    assert len(lists) == 1 and 18.0 < lists[0] < 18.0 + TOLD_S  # and that watch is kept to the end
+    lists = [at for at, result in received if result.version]
+    assert len(lists) == 1 and 18.0 < lists[0] < 18.0 + MAX_AGE_S  # and that watch stays open
 
 
-def test_the_steps_of_a_call_leave_room_for_the_next_one() -> None:
-    for longest in (freshness.ANSWER_TIMEOUT_S, freshness.HEARTBEAT_TIMEOUT_S, freshness.CONNECT_TIMEOUT_S):
-        assert longest + freshness.MIN_PAUSE_S + freshness.ANSWER_S + freshness.SLACK_S <= TOLD_S
+def test_the_timeouts_of_a_call_leave_time_for_the_next_one() -> None:
+    for timeout_s in (freshness.ANSWER_TIMEOUT_S, freshness.HEARTBEAT_TIMEOUT_S, freshness.CONNECT_TIMEOUT_S):
+        assert timeout_s + freshness.MIN_PAUSE_S + freshness.ANSWER_S + freshness.SLACK_S <= MAX_AGE_S
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Stories of the platform's front: clients, engines and discovery over loopback sockets."""
+"""Tests of the platform's HTTP protocol with clients, servers and discovery over loopback sockets."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 @story
-async def test_an_answer_passes_on_unchanged_and_the_request_too() -> None:
-    engine = Engine()
-    async with among(engine) as router:
+async def test_requests_and_answers_are_forwarded_unchanged() -> None:
+    server = Engine()
+    async with among(server) as router:
         got = await router.post(b'{"model":"chat"}')
     assert (got.status, got.body, got.whole) == (200, b"".join(EVENTS), True)
-    [call] = engine.calls
+    [call] = server.calls
     assert (call.head.method, call.head.target, call.body) == (
         b"POST",
         b"/v1/chat/completions?x=1",
@@ -65,9 +65,9 @@
 
 
 @story
-async def test_fields_that_the_router_does_not_know_pass_on_and_those_of_one_connection_do_not() -> None:
-    engine = Engine()
-    async with among(engine) as router:
+async def test_unknown_fields_are_forwarded_but_hop_by_hop_fields_are_not() -> None:
+    server = Engine()
+    async with among(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(
             raw(
@@ -80,7 +80,7 @@
             )
         )
         assert (await wire.next()).status_code == 200
-    [call] = engine.calls
+    [call] = server.calls
     names = [name for name, _ in call.head.headers]
     assert call.headers["idempotency-key"] == "k1"
     assert [value for name, value in call.head.headers if name == b"x-note"] == [b"a", b"b"]
@@ -89,7 +89,7 @@
 
 
 @story
-async def test_events_pass_on_as_they_come() -> None:
+async def test_events_are_forwarded_as_they_arrive() -> None:
     more = trio.Event()
 
     async def slowly(call: Call) -> None:
@@ -108,12 +108,14 @@
 
 @pytest.mark.parametrize("script, never_ran", [(refuse, True), (fail, False), (begin_and_reset, False)])
 @story
-async def test_an_attempt_that_ends_badly(script: object, never_ran: bool) -> None:
+async def test_a_failed_attempt_is_retried_only_before_its_first_event(
+    script: object, never_ran: bool
+) -> None:
     first, second = Engine(), Engine()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
     async with among(first, second) as router:
         got = await router.post()
-    if script is begin_and_reset:  # it belongs to the client: nothing more goes out, and no last chunk
+    if script is begin_and_reset:  # the answer has begun: no further attempt, and no last chunk
         assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
         assert len(first.calls) + len(second.calls) == 1
     else:
@@ -122,7 +124,7 @@
 
 
 @story
-async def test_an_rpc_that_the_module_gives_up_is_answered_at_once() -> None:
+async def test_an_rpc_that_the_decision_module_refuses_is_answered_at_once() -> None:
     async with among(Engine(refuse)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="4000m")
@@ -131,10 +133,10 @@
 
 
 @story
-async def test_the_deadline_runs_until_the_first_event_and_no_longer() -> None:
+async def test_the_deadline_applies_until_the_first_event_only() -> None:
     async def late(call: Call) -> None:
         await call.start(EVENTS[0])
-        await trio.sleep(0.3)  # longer than the deadline that no longer runs
+        await trio.sleep(0.3)  # longer than the deadline, which no longer applies
         await call.more(*EVENTS[1:])
         await call.end()
 
@@ -147,7 +149,7 @@
 
 
 @story
-async def test_a_client_that_leaves_gives_up_its_attempt() -> None:
+async def test_a_disconnecting_client_cancels_its_attempt() -> None:
     left = trio.Event()
 
     async def until_left(call: Call) -> None:
@@ -163,7 +165,9 @@
 
 
 @story
-async def test_an_engine_gone_silent_within_a_stream_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_server_that_falls_silent_within_a_stream_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
 
     async def silent(call: Call) -> None:
@@ -176,7 +180,7 @@
 
 
 @story
-async def test_a_client_keeps_its_connection_from_one_request_to_the_next() -> None:
+async def test_a_client_connection_is_kept_alive_between_requests() -> None:
     async with among(Engine()) as router:
         wire = await router.connect()
         for trace in (b"t1", b"t2", b"t3"):
@@ -189,25 +193,25 @@
 
 
 @story
-async def test_connections_are_reused_but_not_near_the_engines_idle_limit(
+async def test_connections_are_reused_but_not_near_the_servers_idle_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http_client, "MIN_IDLE_S", 0.0)
-    engine = Engine()
-    async with among(engine) as router:
+    server = Engine()
+    async with among(server) as router:
         for _ in range(3):
             await router.post()
-        assert engine.connections == 1
+        assert server.connections == 1
         monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
-    engine = Engine()
-    async with among(engine) as router:
+    server = Engine()
+    async with among(server) as router:
         await router.post()
         await router.post()
-    assert engine.connections == 2
+    assert server.connections == 2
 
 
 @story
-async def test_nothing_new_goes_to_an_engine_that_drains() -> None:
+async def test_no_new_request_is_sent_to_a_draining_server() -> None:
     first, second = Engine(), Engine()
     discovery = Discovery(first, second)
     async with among(first, second, discovery=discovery) as router:
@@ -223,150 +227,156 @@
 
 
 @story
-async def test_an_attempt_that_still_dials_is_not_sent_to_an_engine_that_drains() -> None:
+async def test_an_attempt_that_is_still_connecting_is_not_sent_to_a_draining_server() -> None:
     with socket.socket() as stuck, socket.socket() as first, socket.socket() as second:
         stuck.bind(("127.0.0.1", 0))
-        stuck.listen(0)  # the backlog is full after the first: whoever comes later hangs in its dial
+        stuck.listen(0)  # the backlog is full after the first connection: later ones hang while connecting
         for filler in (first, second):
             filler.setblocking(False)
             filler.connect_ex(stuck.getsockname())
-        hung, good = Engine(), Engine()
-        hung.address = f"127.0.0.1:{stuck.getsockname()[1]}"
-        discovery = Discovery(hung)
+        unreachable, good = Engine(), Engine()
+        unreachable.address = f"127.0.0.1:{stuck.getsockname()[1]}"
+        discovery = Discovery(unreachable)
         async with good.open(), among(discovery=discovery, limits={"connect_timeout_s": 60.0}) as router:
             await discovery.watching.wait()
             async with trio.open_nursery() as nursery:
 
-                async def ask() -> None:
+                async def send_request() -> None:
                     assert (await router.post(x_expires_in="60000m")).whole
 
-                nursery.start_soon(ask)
+                nursery.start_soon(send_request)
                 core = router.program.core
                 while not any(entry.in_flight for entry in core.open_rpcs.values()):
                     await trio.sleep(0.005)
-                discovery.engines = (hung, good)
+                discovery.engines = (unreachable, good)
                 discovery.tell(e0="Terminating")
     assert len(good.calls) == 1
 
 
 @story
-async def test_an_attempt_whose_dial_ends_after_the_drain_is_not_sent_either() -> None:
+async def test_an_attempt_is_not_sent_after_its_client_disconnected_or_its_server_began_to_drain() -> None:
     subchannel = SimpleNamespace(ready=True)
-    there = [True]
-    attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: there[0])  # type: ignore[arg-type]
+    connected = [True]
+    attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: connected[0])  # type: ignore[arg-type]
     assert attempt.may_send()
-    there[0] = False  # its client has left
+    connected[0] = False
     assert not attempt.may_send()
-    there[0], subchannel.ready = True, False
+    connected[0], subchannel.ready = True, False
     assert not attempt.may_send()
 
 
 @story
-async def test_an_answer_that_begins_as_its_deadline_fires_is_not_begun() -> None:
-    """A busy program reads both in the same pass: the stream would be cut off by the deadline it outlived."""
-    got: list[Any] = []
+async def test_an_answer_whose_first_event_arrives_with_the_deadline_is_not_started() -> None:
+    """A busy process sees both in the same step; the expired deadline would cut off the answer."""
+    results: list[Any] = []
 
-    class Late:
+    class LateClient:
         async def call(self, rpc: Any, progress: Any) -> Any:
-            time.sleep(0.02)  # the program is busy; nothing else runs
+            time.sleep(0.02)  # blocks the whole process
             await progress.forward_event(EVENTS[0])
 
     target: Any = SimpleNamespace(endpoint="")
-    clients: Any = {"http": Late()}
-    subchannel = Subchannel(1, target, lambda _: clients, "http", lambda *told: got.append(told), print)
+    clients: Any = {"http": LateClient()}
+    subchannel = Subchannel(1, target, lambda _: clients, "http", lambda *ended: results.append(ended), print)
     attempt = Attempt(SimpleNamespace(protocol="http"), 0, subchannel, 0.01, print, lambda _: True)  # type: ignore[arg-type]
     await subchannel._run_attempt(attempt)
-    assert got[0][1].status is Status.TIMEOUT and not attempt.started
+    assert results[0][1].status is Status.TIMEOUT and not attempt.started
 
 
 @story
-async def test_a_client_that_left_behind_all_that_it_sent_ahead_gets_no_further_attempt() -> None:
-    held, taken = trio.Event(), trio.Event()
+async def test_a_disconnect_behind_pipelined_requests_is_detected_and_stops_the_attempts() -> None:
+    disconnected, received = trio.Event(), trio.Event()
 
     async def hold(call: Call) -> None:
-        taken.set()
+        received.set()
         await call.left()
-        held.set()
+        disconnected.set()
 
-    engine = Engine(hold)
-    async with among(engine) as router:
+    server = Engine(hold)
+    async with among(server) as router:
         wire = await router.start_post()
-        await taken.wait()
+        await received.wait()
         await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 60_000) * 3)
-        await wire.stream.aclose()  # an end, behind more than a connection's ring holds
+        await wire.stream.aclose()  # a close behind more bytes than a connection's buffer holds
         with trio.fail_after(1.0):
-            await held.wait()
-    assert len(engine.calls) == 1 and router.program.payloads.used == 0
+            await disconnected.wait()
+    assert len(server.calls) == 1 and router.program.payloads.used == 0
 
 
 @story
-async def test_commands_sent_at_once_are_answered_in_turn_and_their_clocks_run_meanwhile() -> None:
-    first, engine = trio.Event(), Engine()
-    engine.scripts.append(serve_until(first))
-    async with among(engine) as router:
+async def test_pipelined_requests_are_answered_in_order_and_their_timeouts_run_while_they_wait() -> None:
+    finish_first, server = trio.Event(), Engine()
+    server.scripts.append(serve_until(finish_first))
+    async with among(server) as router:
         wire = await router.connect()
-        sent = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
-        await wire.stream.send_all(b"".join(sent))
-        await trio.testing.wait_all_tasks_blocked(0.3)  # for so long the others wait for their turn
-        first.set()
-        said = b""
-        while said.count(b"\r\n0\r\n\r\n") < 4:
-            said += await wire.stream.receive_some(65536)
-    told = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in engine.calls]
-    assert told[0] > 0.8 and all(wait < 0.65 for wait in told[1:]) and router.program.payloads.used == 0
+        requests = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
+        await wire.stream.send_all(b"".join(requests))
+        await trio.testing.wait_all_tasks_blocked(0.3)  # the other requests wait meanwhile
+        finish_first.set()
+        data = b""
+        while data.count(b"\r\n0\r\n\r\n") < 4:
+            data += await wire.stream.receive_some(65536)
+    timeouts_s = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in server.calls]
+    assert (
+        timeouts_s[0] > 0.8
+        and all(wait < 0.65 for wait in timeouts_s[1:])
+        and router.program.payloads.used == 0
+    )
 
 
 @story
-async def test_what_was_sent_ahead_is_answered_by_a_router_that_was_told_to_stop() -> None:
-    finish, engine = trio.Event(), Engine()
-    engine.scripts.append(serve_until(finish))
-    async with among(engine) as router:
+async def test_a_stopping_router_answers_pipelined_requests() -> None:
+    finish, server = trio.Event(), Engine()
+    server.scripts.append(serve_until(finish))
+    async with among(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"taken"))
-        said = await wire.stream.receive_some(65536)  # its head says nothing of an end
+        data = await wire.stream.receive_some(65536)  # a head without `Connection: close`
         await wire.stream.send_all(raw(x_trace_id=b"ahead"))
         for front in router.program.fronts.values():
             await front.linger()
             await front.drain()
         finish.set()
         while more := await wire.stream.receive_some(65536):
-            said += more
-            if said.endswith(b"\r\n0\r\n\r\n"):
+            data += more
+            if data.endswith(b"\r\n0\r\n\r\n"):
                 with suppress(trio.BrokenResourceError):
-                    await wire.stream.send_all(raw(x_trace_id=b"late"))  # crosses the end
-    assert said.count(b"\r\n0\r\n\r\n") == 2 and said.count(b"connection: close") == 1
-    assert [call.headers["x-trace-id"] for call in engine.calls] == ["taken", "ahead"]
+                    await wire.stream.send_all(
+                        raw(x_trace_id=b"late")
+                    )  # sent while the router closes the connection
+    assert data.count(b"\r\n0\r\n\r\n") == 2 and data.count(b"connection: close") == 1
+    assert [call.headers["x-trace-id"] for call in server.calls] == ["taken", "ahead"]
 
 
 @story
-async def test_an_end_is_seen_without_waiting() -> None:
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
-    connection = Connection(trio.socket.from_stdlib_socket(ours), lambda: None)
+async def test_a_close_by_the_peer_is_detected_without_waiting() -> None:
+    router_end, peer_end = socket.socketpair()
+    router_end.setblocking(False)
+    connection = Connection(trio.socket.from_stdlib_socket(router_end), lambda: None)
     assert not connection.ended()
-    theirs.send(b"ahead")
+    peer_end.send(b"ahead")
     assert not connection.ended()
-    theirs.close()
+    peer_end.close()
     assert connection.ended() and await connection.receive() == b"ahead"
 
 
 @story
-async def test_a_crowd_of_large_requests_is_refused_and_not_held() -> None:
+async def test_large_requests_beyond_the_payload_budget_are_refused() -> None:
     async with among(Engine()) as router:
         router.program.payloads.most = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
-        for _ in range(3):  # and what was served is no longer counted
+        for _ in range(3):  # answered requests are no longer counted
             assert (await router.post(b"x" * 900)).whole
         assert router.program.payloads.used == 0
 
 
 @story
-async def test_a_body_is_let_go_once_its_answer_streams() -> None:
-    finish, engine = trio.Event(), Engine()
-    engine.script = serve_until(finish)
+async def test_a_body_is_freed_once_its_answer_streams() -> None:
+    finish, server = trio.Event(), Engine()
+    server.script = serve_until(finish)
     body, count = b"x" * 250_000, 12
-    async with among(engine) as router:
+    async with among(server) as router:
         gc.collect()
         tracemalloc.start()
         try:
@@ -376,34 +386,34 @@
                 await wire.stream.send_all(raw(x_trace_id=b"%d" % number, body=body))
                 assert (await wire.next()).status_code == 200
                 wires.append(wire)
-            held = tracemalloc.get_traced_memory()[0]
+            allocated = tracemalloc.get_traced_memory()[0]
         finally:
             tracemalloc.stop()
             finish.set()
-        assert len(engine.calls) == count and router.program.payloads.used == 0
-        # The scripted engine keeps each body once; a router that kept them would hold as much again.
-        assert held < 1.5 * count * len(body)
+        assert len(server.calls) == count and router.program.payloads.used == 0
+        # The scripted server keeps each body once; a router that kept them would allocate as much again.
+        assert allocated < 1.5 * count * len(body)
         for wire in wires:
             await wire.stream.aclose()
 
 
 @story
-async def test_a_watch_that_is_refused_ends_or_stalls_is_asked_for_again(
+async def test_a_refused_or_stalled_watch_is_restarted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(freshness, "HEARTBEAT_TIMEOUT_S", 0.1)
-    engine = Engine()
-    discovery = Discovery(engine)
+    server = Engine()
+    discovery = Discovery(server)
     discovery.refuse = 1
-    async with among(engine, discovery=discovery):
+    async with among(server, discovery=discovery):
         while discovery.watches < 3:  # the first is refused, the second stalls
             await trio.sleep(0.01)
 
 
 @story
-async def test_a_list_of_nonsense_ends_the_watch_and_not_the_program() -> None:
-    engine = Engine()
-    discovery = Discovery(engine)
+async def test_a_malformed_list_ends_the_watch_but_not_the_program() -> None:
+    server = Engine()
+    discovery = Discovery(server)
     entry = b'{"rev":2,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","az":"a","state":"Ready",%b}]}'
     discovery.nonsense = [
         b"[" * 100_000,
@@ -412,7 +422,7 @@
         entry % b'"pod_group":1e999',
     ]
     async with among(
-        engine, discovery=discovery, contract={**SETTINGS["contract"], "must_ask_in_s": 0.2}
+        server, discovery=discovery, contract={**SETTINGS["contract"], "must_ask_in_s": 0.2}
     ) as router:
         await discovery.watching.wait()
         assert discovery.watches == 5
@@ -421,16 +431,21 @@
 
 @story
 @pytest.mark.parametrize("how", ["ask", "push"])
-async def test_an_indented_list_of_1024_engines_is_taken_over_whole_by_one_of_1024_routers(how: str) -> None:
-    engine = Engine()
-    discovery = Discovery(engine)
+async def test_an_indented_list_of_1024_servers_is_applied_completely_by_one_of_1024_routers(
+    how: str,
+) -> None:
+    server = Engine()
+    discovery = Discovery(server)
     discovery.indent = 4
-    discovery.nonsense = [b'{"rev": 2,\n "targets": [{\n', b"{\n}]"]  # cut off; closed twice
+    discovery.nonsense = [
+        b'{"rev": 2,\n "targets": [{\n',
+        b"{\n}]",
+    ]  # truncated; one closing bracket too many
     contract = {**SETTINGS["contract"], "must_ask_in_s": 0.2}
     if how == "push":
         del contract["must_ask_in_s"]
     async with among(
-        engine, discovery=discovery, lists=how, balancers=1024, me=1023, contract=contract
+        server, discovery=discovery, lists=how, balancers=1024, me=1023, contract=contract
     ) as router:
         await discovery.watching.wait()
         assert discovery.watches == 3
@@ -446,10 +461,10 @@
 
 
 @story
-async def test_what_is_wrong_with_a_request_is_said() -> None:
+async def test_invalid_requests_are_answered_with_matching_statuses() -> None:
     async with among(Engine()) as router:
         assert (await router.ask("GET", "/up")).status == 200
-        for bad in (
+        for invalid in (
             {"x_trace_id": None},
             {"x_qos": "nothing"},
             {"x_customer": "nobody"},
@@ -458,10 +473,10 @@
             {"x_second_try": "2"},
             {"x_props": "prompt_len=many"},
         ):
-            assert (await router.post(**bad)).status == 400, bad
+            assert (await router.post(**invalid)).status == 400, invalid
         assert (await router.ask("GET", "/nowhere")).status == 404
-        wrong = await router.ask("GET", "/v1/chat/completions")
-        assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
+        rejected = await router.ask("GET", "/v1/chat/completions")
+        assert (rejected.status, rejected.headers["allow"]) == (405, "POST")
         assert (await router.post(b"x" * (256 * 1024 + 1))).status == 413
         assert (await router.post(b"x" * (256 * 1024))).status == 200
         wire = await router.connect()
@@ -470,7 +485,9 @@
 
 
 @story
-async def test_a_slow_head_and_a_vanished_sender_hurt_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_slow_head_or_an_unfinished_request_does_not_affect_other_clients(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.05)
     async with among(Engine()) as router:
         wire = await router.connect()
@@ -485,7 +502,7 @@
 
 
 @story
-async def test_a_slow_reader_slows_its_engine_and_loses_nothing() -> None:
+async def test_a_slow_reader_slows_its_server_down_and_gets_the_whole_answer() -> None:
     sent = 0
     chunk = b"data: " + b"x" * 60000 + b"\n\n"
 
@@ -500,7 +517,7 @@
     async with among(Engine(flood)) as router:
         wire = await router.start_post()
         await wire.next()
-        await trio.testing.wait_all_tasks_blocked(0.1)  # until nothing moves any more
+        await trio.testing.wait_all_tasks_blocked(0.1)  # until no more bytes are transferred
         assert 0 < sent < 400
         got = bytearray()
         while hasattr(event := await wire.next(), "data"):
@@ -509,7 +526,7 @@
 
 
 @story
-async def test_sigterm_answers_all_that_was_taken_and_ends() -> None:
+async def test_sigterm_answers_all_accepted_requests_and_ends_the_program() -> None:
     finish = trio.Event()
     slowly = serve_until(finish)
     async with among(Engine(slowly)) as router:
@@ -520,7 +537,7 @@
         program.lifecycle.stop_asked.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.005)
-        assert (await router.ask("GET", "/up")).status == 503  # still accepting, but no longer for work
+        assert (await router.ask("GET", "/up")).status == 503  # still accepts connections, but is not ready
         late = await router.start_post(x_trace_id="late")
         while program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
@@ -534,12 +551,12 @@
 
 
 @story
-async def test_pipelined_requests_get_their_answers_in_order() -> None:
-    engine = Engine()
-    async with among(engine) as router:
+async def test_pipelined_requests_are_answered_in_order() -> None:
+    server = Engine()
+    async with among(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(ONE % b"t1" + ONE % b"t2")
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 2:
             data += await wire.stream.receive_some(4096)
-    assert [c.headers["x-trace-id"] for c in engine.calls] == ["t1", "t2"]
+    assert [c.headers["x-trace-id"] for c in server.calls] == ["t1", "t2"]
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -1,4 +1,4 @@
-"""Reproductions of the incident of lost requests (docs/incidents), on real router processes over loopback."""
+"""Reproductions of the lost-requests incident (docs/incidents) with real router processes over loopback."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def checked(verdict: Verdict) -> Verdict:
-    """Fail with the first breaks of a rule, and with what the routers logged of them."""
+    """Return the verdict, or fail with its first violations and the routers' log lines on them."""
     if verdict.breaks:
         names = {line.split()[1] for line in verdict.breaks[:5]}
         logged = [
@@ -20,7 +20,7 @@
     return verdict
 
 
-def test_a_router_of_thousands_of_servers_answers_in_time_while_its_list_changes() -> None:
+def test_a_router_with_thousands_of_servers_answers_in_time_while_its_list_changes() -> None:
     verdict = checked(
         play(
             Soak(
@@ -38,6 +38,6 @@
     assert verdict.requests > 100 and verdict.served > 0.9 * verdict.requests
 
 
-def test_no_request_is_lost_to_system_calls_that_fail_for_a_moment() -> None:
+def test_no_request_is_lost_when_system_calls_fail_transiently() -> None:
     verdict = checked(play(Soak(routers=4, servers=20, span_s=6.0, faults_per_s=0.0, failing_calls=0.02)))
     assert verdict.requests > 80 and verdict.served > 0.8 * verdict.requests
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -1,4 +1,4 @@
-"""What may be started, written and closed now, and the check at run time that it was so."""
+"""The rules on starting and writing attempts, their audit, and the errors of system calls."""
 
 from __future__ import annotations
 
@@ -42,18 +42,18 @@
         ({"client_present": lambda: False}, Denial.CLIENT_LEFT),
     ],
 )
-def test_what_forbids_a_write(changes: dict[str, Any], denial: Denial | None) -> None:
+def test_each_condition_that_denies_a_write(changes: dict[str, Any], denial: Denial | None) -> None:
     assert may_write(**{**ALLOWED, **changes}) is denial
 
 
-def test_the_client_is_looked_at_only_where_nothing_else_forbids_a_write() -> None:
-    def look() -> bool:
-        raise AssertionError("a look has effects: it ends the RPC of a client that left")
+def test_the_client_is_checked_only_if_nothing_else_denies_a_write() -> None:
+    def check() -> bool:
+        raise AssertionError("the check has a side effect: it ends the RPC of a disconnected client")
 
-    assert may_write(**{**ALLOWED, "aborted": True, "client_present": look}) is Denial.GIVEN_UP
+    assert may_write(**{**ALLOWED, "aborted": True, "client_present": check}) is Denial.GIVEN_UP
 
 
-def test_what_forbids_an_attempt() -> None:
+def test_each_condition_that_denies_an_attempt() -> None:
     assert may_begin(answered=False, others_in_flight=0, server_ready=True) is None
     assert may_begin(answered=True, others_in_flight=0, server_ready=True) is Denial.ANSWERED
     assert may_begin(answered=False, others_in_flight=1, server_ready=True) is Denial.ANOTHER_OUT
@@ -61,7 +61,7 @@
     assert write_until(1.0, 0.1) == 1.0 and write_until(1.0, 2.0) == pytest.approx(2.85)
 
 
-def test_the_audit_counts_and_logs_each_rule_that_was_broken() -> None:
+def test_the_audit_counts_and_logs_each_violated_rule() -> None:
     records: list[tuple[Any, ...]] = []
     audit = Audit(lambda *words, **data: records.append((*words, data["rule"])))
     audit.check_written("r1", 1.0, answered=False, in_flight=1, expires_at=2.0, drained_at=0.9)
@@ -74,11 +74,11 @@
 
 
 @story
-async def test_a_fault_in_the_front_is_answered_and_a_close_with_an_answer_owed_is_counted(
+async def test_an_error_in_the_front_gets_an_answer_and_violates_at_most_the_rule_on_closing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def fail(self: ClientConnection, request: Any) -> None:
-        raise ValueError("a mistake")
+        raise ValueError("error in the front")
 
     async with among(Engine()) as router:
         with monkeypatch.context() as patch:
@@ -92,7 +92,7 @@
 
 
 @story
-async def test_neither_a_broken_stream_nor_a_client_that_left_counts_as_a_close_of_ours() -> None:
+async def test_a_broken_stream_or_a_disconnected_client_violates_no_rule() -> None:
     async def break_off(call: Call) -> None:
         await call.start(b"data: 1\n\n")
         await call.wire.stream.aclose()
@@ -106,20 +106,27 @@
         assert not router.program.core.audit.violations
 
 
-# What a failed system call says.
+# Classification of the errors of system calls.
 
 
-def test_each_error_is_classed_once() -> None:
-    passing = {errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS}
-    ends = {errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.ENOTCONN, errno.EBADF, errno.ECONNREFUSED}
-    local = passing | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
-    for number in passing | ends | local:
-        assert is_passing(OSError(number, "")) is (number in passing)
+def test_errors_are_classified_as_transient_and_as_local_shortage() -> None:
+    transient = {errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS}
+    connection_errors = {
+        errno.ECONNRESET,
+        errno.EPIPE,
+        errno.ETIMEDOUT,
+        errno.ENOTCONN,
+        errno.EBADF,
+        errno.ECONNREFUSED,
+    }
+    local = transient | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
+    for number in transient | connection_errors | local:
+        assert is_passing(OSError(number, "")) is (number in transient)
         assert is_local_shortage(OSError(number, "")) is (number in local)
 
 
 class NoDescriptors(Machine):
-    """A system that has no descriptor left for so many sockets."""
+    """A system that fails to create the first sockets for lack of descriptors."""
 
     def __init__(self, failures: int) -> None:
         super().__init__()
@@ -133,7 +140,7 @@
 
 
 @story
-async def test_a_dial_is_tried_again_while_this_machine_is_short_and_blames_no_server() -> None:
+async def test_dialling_is_retried_during_a_local_shortage_and_does_not_count_against_the_server() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         closed: list[bool] = []
@@ -150,8 +157,8 @@
         assert (await client.probe()).status is Status.NOT_SENT
 
 
-class FailingLook:
-    """A socket whose state can't be asked for."""
+class FailingGetsockopt:
+    """A socket whose getsockopt fails."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
@@ -164,13 +171,15 @@
 
 
 @story
-async def test_a_look_at_the_client_that_fails_is_no_end_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_failed_check_of_the_client_does_not_count_as_its_disconnect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        theirs = socket.create_connection(listener.getsockname())
-        ours = trio.socket.from_stdlib_socket(listener.accept()[0])
-    monkeypatch.setattr(type(ours), "getsockopt", FailingLook.getsockopt)
-    connection = Connection(ours, lambda: None)
-    assert not closed_by_peer(ours) and not connection.ended()
-    theirs.close()
-    assert connection.ended()  # seen by reading
+        client_end = socket.create_connection(listener.getsockname())
+        router_end = trio.socket.from_stdlib_socket(listener.accept()[0])
+    monkeypatch.setattr(type(router_end), "getsockopt", FailingGetsockopt.getsockopt)
+    connection = Connection(router_end, lambda: None)
+    assert not closed_by_peer(router_end) and not connection.ended()
+    client_end.close()
+    assert connection.ended()  # detected by reading
     connection.close()
