--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -168,9 +168,9 @@
             self.release_pipelined()
 
     def log_closed(self, error: Exception) -> None:
-        """Log the end of a connection whose answer was not or only partly written."""
-        left_first = self.final is not None and self.final.outcome is Outcome.GONE
-        if self.owes_answer and not left_first:
+        """Log the end of a connection whose answer is not completely written."""
+        client_left_first = self.final is not None and self.final.outcome is Outcome.GONE
+        if self.owes_answer and not client_left_first:
             self.front.log(
                 "info",
                 "CLOSED",
@@ -185,9 +185,10 @@
                 self.front.core.closed_without_answer(self.rpc_key, str(error))
 
     async def close_gracefully(self) -> None:
-        """Close the connection after what was just written, so that the client can read it.
+        """Close the connection gracefully, so that the client can read what was just written.
 
-        Bytes that still arrive are discarded; the end of the router's side signals this to the client.
+        Bytes that still arrive are discarded; the close of the router's sending side signals this to the
+        client.
         """
         if not self.is_closing:
             self.is_closing = True
@@ -411,7 +412,7 @@
 
 
 class HttpFront(Front[ClientConnection]):
-    """The client connections that speak HTTP/1.1."""
+    """The front for HTTP/1.1."""
 
     draining = False  # answers carry `Connection: close`
     closing = False  # connections are closed after their answer
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -93,7 +93,7 @@
         self._log = log
         self.max_open_rpcs = max_open_rpcs
         self._names: set[tuple[str, str]] = set()  # protocols and client-chosen names of the open RPCs
-        self._arrived = 0
+        self._submitted = 0  # RPCs so far, for unique keys
         self._timers: Timers[str | OpenRPC] = Timers()  # the decision module's tokens, and deadlines
         # The decision module's clock is Unix time, like the servers' start times, but monotonic.
         self._epoch = wall() - trio.current_time()
@@ -127,9 +127,9 @@
             if (rpc.protocol, rpc.name) in self._names:
                 raise NameTaken
             self._names.add((rpc.protocol, rpc.name))
-        self._arrived += 1
+        self._submitted += 1
         # The decision module joins this key with colons into timer tokens, and names may repeat over time.
-        rpc.key = f"{rpc.name.replace(':', '_')}.{self._arrived}"
+        rpc.key = f"{rpc.name.replace(':', '_')}.{self._submitted}"
         rpc.expires_at = trio.current_time() + rpc.expires_in_s - min(MARGIN_S, 0.1 * rpc.expires_in_s)
         entry = self.open_rpcs[rpc.key] = OpenRPC(rpc)
         self._timers.add(rpc.expires_at + OVERDUE_S, entry)
@@ -187,9 +187,9 @@
 
     def apply_resolver_result(self, result: ResolverResult) -> None:
         """Apply a resolver result to the subchannels now, and to the decision module in its next batches."""
-        whole = result.kind is not ListKind.DELTA
-        change = self._table.apply(result, whole and self._module_failed)
-        if whole:
+        is_whole_list = result.kind is not ListKind.DELTA
+        change = self._table.apply(result, is_whole_list and self._module_failed)
+        if is_whole_list:
             self._module_failed = False
         if change is not None:
             self._mailbox.post(change)
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -17,7 +17,7 @@
     REFUSED = "refused"  # answered with the protocol's "unavailable": the client may safely retry
     FAILED = "failed"
     BROKEN = "broken"  # the response stream had begun and was cut off
-    GONE = "gone"  # the client disconnected or cancelled before its answer
+    GONE = "gone"  # the client disconnected or cancelled before the end of its answer
 
 
 class Cause(Enum):
