--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -17,20 +17,20 @@
 
 from ..kserve import kserve_pb2 as pb
 from ..kserve.framing import (
-    LARGEST_HEADERS,
+    MAX_HEADER_LIST_BYTES,
     SERVICE,
     Code,
-    Farewell,
-    Farewells,
+    Deframer,
+    GoAway,
+    GoAwayFilter,
     GrpcError,
-    Unframer,
     format_timeout,
     frame,
     status_of,
 )
 from .policy.outcome import Kind, Outcome
 from .policy.refusal import pushback
-from .sockets import Lost, Socket
+from .sockets import ConnectionLost, Socket
 from .types import Request
 from .wire import Exchange, Line, Mark
 
@@ -82,7 +82,7 @@
             client=True,
             initial_values={
                 h2.settings.SettingCodes.ENABLE_PUSH: 0,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: LARGEST_HEADERS,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST_BYTES,
             },
         )
         self.h2.initiate_connection()
@@ -93,10 +93,10 @@
         self.heard_at = now
         self.pinged_at: float | None = None
         self.on_going: Callable[[], None] = lambda: None
-        self._farewells = Farewells(preface=False)
+        self._goaway_filter = GoAwayFilter(preface=False)
         self._pending = self.h2.data_to_send()
         self._wake = anyio.Event()
-        self._lost: Lost | None = None
+        self._lost: ConnectionLost | None = None
         self._written = 0  # bytes, and how many were to be written in all
         self._queued = len(self._pending)
 
@@ -116,21 +116,21 @@
 
     async def run(self) -> None:
         """Read and write until the connection ends; whoever waits on it then hears why."""
-        lost = Lost("closed here")
+        lost = ConnectionLost("closed here")
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write)
                 try:
                     await self._read()
-                except Lost as error:
+                except ConnectionLost as error:
                     lost = error
                 except (h2.exceptions.ProtocolError, GrpcError) as error:
-                    lost = Lost(f"not HTTP/2: {error}")
+                    lost = ConnectionLost(f"not HTTP/2: {error}")
                 group.cancel_scope.cancel()
         finally:
             self._end(lost)
 
-    def _end(self, lost: Lost) -> None:
+    def _end(self, lost: ConnectionLost) -> None:
         if self._lost is None:
             self._lost = lost
             for exchange in list(self.exchanges.values()):
@@ -140,23 +140,23 @@
         while True:
             data = await self.socket.receive()
             if not data:
-                raise Lost("closed by the router")
+                raise ConnectionLost("closed by the router")
             self.heard_at, self.pinged_at = anyio.current_time(), None
-            rest, farewells = self._farewells.strip(data)
+            rest, goaways = self._goaway_filter.strip(data)
             for event in self.h2.receive_data(rest):
                 self._take(event)
-            for farewell in farewells:
-                self._said_farewell(farewell)
+            for goaway in goaways:
+                self._on_goaway(goaway)
             self.flush()
             if self.going and not self.taken:
-                raise Lost("the router has said goodbye")
+                raise ConnectionLost("the router has said goodbye")
 
-    def _said_farewell(self, farewell: Farewell) -> None:
+    def _on_goaway(self, goaway: GoAway) -> None:
         if not self.going:
             self.going = True
             self.on_going()
         for number, exchange in list(self.exchanges.items()):
-            if number > farewell.last_stream:  # RFC 9113 6.8: not taken, and never will be
+            if number > goaway.last_stream_id:  # RFC 9113 6.8: not taken, and never will be
                 exchange.end(Outcome(Kind.NEVER_RAN, "left out by a GOAWAY", stale=True))
 
     def _take(self, event: h2.events.Event) -> None:
@@ -177,7 +177,7 @@
                 if event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM:
                     exchange.end(Outcome(Kind.NEVER_RAN, "REFUSED_STREAM", stale=True))
                 elif not exchange.ended:
-                    exchange.lose(Lost(f"the stream was reset with error {event.error_code}"))
+                    exchange.lose(ConnectionLost(f"the stream was reset with error {event.error_code}"))
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 for waiting in self.exchanges.values():
                     waiting.notify()
@@ -208,7 +208,7 @@
                 data, self._pending = self._pending, b""
                 await self.socket.send(data)
                 self._written += len(data)
-        except Lost as lost:
+        except ConnectionLost as lost:
             self._end(lost)
 
     def ping_if_quiet(self, now: float, after_s: float) -> bool:
@@ -223,11 +223,11 @@
 
     def fail(self, cause: str) -> None:
         """End all that is on it: its machine has gone."""
-        self._end(Lost(cause))
+        self._end(ConnectionLost(cause))
         self.close()
 
     def close(self) -> None:
-        self._end(Lost("closed here"))
+        self._end(ConnectionLost("closed here"))
         self.socket.close()
 
 
@@ -238,13 +238,13 @@
         self.line = line
         self._request, self._mark = request, mark
         self._message = frame(message_for(request, body, mark.name))
-        self._unframer = Unframer(line.largest_event)
+        self._deframer = Deframer(line.largest_event)
         self._unacknowledged = 0
         self._fields: dict[str, str] = {}
         self._number = 0
         self._sent_at_mark = 0
         self._outcome: Outcome | None = None
-        self._lost: Lost | None = None
+        self._lost: ConnectionLost | None = None
         self._closed = False
         self.ended = False
         self._changed = anyio.Event()
@@ -261,13 +261,13 @@
 
     def feed(self, data: bytes, length: int) -> None:
         self._unacknowledged += length
-        self._unframer.feed(data)
+        self._deframer.feed(data)
         self.notify()
 
-    def lose(self, lost: Lost) -> None:
+    def lose(self, lost: ConnectionLost) -> None:
         if not self.ended and self._outcome is None:
             unwritten = self._number == 0 or not self.line.written(self._sent_at_mark)
-            self._lost = Lost(lost.cause, unread=lost.unread or unwritten)
+            self._lost = ConnectionLost(lost.cause, unread=lost.unread or unwritten)
             self.notify()
 
     def end(self, outcome: Outcome) -> None:
@@ -324,7 +324,7 @@
         except h2.exceptions.StreamClosedError:
             self._check()  # the answer came before the request was whole
         except h2.exceptions.ProtocolError as error:
-            raise Lost(str(error), unread=True) from None
+            raise ConnectionLost(str(error), unread=True) from None
         self._sent_at_mark = line.flush()
         return True
 
@@ -342,10 +342,10 @@
         while True:
             changed = self._changed
             try:
-                message = self._unframer.next()
+                message = self._deframer.next()
             except GrpcError as error:
-                raise Lost(error.message) from None
-            if message is not None or self._unframer.partial:  # a long message needs room to go on
+                raise ConnectionLost(error.message) from None
+            if message is not None or self._deframer.partial:  # a long message needs room to go on
                 self.line.acknowledge(self._unacknowledged, self._number)
                 self._unacknowledged = 0
                 self.line.flush()
@@ -354,16 +354,16 @@
                 return self._event(message)
             if self._outcome is not None:
                 if not opening:
-                    raise Lost(self._outcome.cause)
+                    raise ConnectionLost(self._outcome.cause)
                 return None
             self._check()
             if self.ended:
                 code, text = status_of(self._fields)
-                if code == Code.OK and not self._unframer.partial:
+                if code == Code.OK and not self._deframer.partial:
                     self.whole = True
                     return None
                 if not opening:
-                    raise Lost(f"grpc-status {code}: {text}")
+                    raise ConnectionLost(f"grpc-status {code}: {text}")
                 self._outcome = outcome_of_status(code, text, self._fields)
                 return None
             await changed.wait()
@@ -373,9 +373,9 @@
         try:
             said = pb.ModelStreamInferResponse.FromString(message)
         except DecodeError:
-            raise Lost("a message that can't be read") from None
+            raise ConnectionLost("a message that can't be read") from None
         if said.error_message:
-            raise Lost(said.error_message[:200])
+            raise ConnectionLost(said.error_message[:200])
         return message
 
     def close(self, now: float) -> None:
--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -42,7 +42,7 @@
     kserve: Kserve | None = None
     server_protocols: tuple[str, ...] = ("http",)
     collector: str = ""
-    least_severity: str = "info"
+    min_severity: str = "info"
 
 
 @dataclass(frozen=True, slots=True)
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -11,8 +11,8 @@
 import trio
 
 from ..routing.types import Log, RPCDispatcher
-from ..transport.admission import EvictionQueue, Stage, evictable
-from ..transport.budget import Descriptors, Payloads, Use
+from ..transport.admission import EvictionQueue, Stage, select_evictions
+from ..transport.budget import DescriptorBudget, PayloadBudget, Use
 from ..transport.connection import Connection
 
 MAX_BODY_BYTES = 256 * 1024  # of a request body or a message
@@ -70,8 +70,8 @@
         self,
         core: RPCDispatcher,
         is_ready: Callable[[], bool],
-        budget: Descriptors,
-        payloads: Payloads,
+        budget: DescriptorBudget,
+        payloads: PayloadBudget,
         log: Log,
     ) -> None:
         self.core = core
@@ -85,7 +85,7 @@
         self.log = log
         self.queue: EvictionQueue[C] = EvictionQueue()  # of the connections that may be closed to make room
         self.evictions: Counter[str] = Counter()  # connections closed to make room, by stage
-        budget.evictors[Use.CLIENT].append(self.evict_clients)
+        budget.eviction_callbacks[Use.CLIENT].append(self.evict_clients)
 
     @abstractmethod
     def create_client(self, connection: Connection) -> C:
@@ -112,7 +112,7 @@
         client = self.create_client(connection)
         client.has_sent_request = has_sent_request
         self.clients[client] = None
-        self.queue.enter(client)
+        self.queue.add(client)
         try:
             await client.run()
         except Exception as error:  # no behaviour of a peer may end the program
@@ -121,7 +121,7 @@
                 self.core.closed_without_answer("", repr(error))
         finally:
             del self.clients[client]
-            self.queue.leave(client)
+            self.queue.remove(client)
 
     @property
     def is_refusing(self) -> bool:
@@ -131,7 +131,7 @@
     def evict_clients(self) -> bool:
         """Close at least one client connection in favour of a new one, and return whether one was closed."""
         evicted = [
-            c for c in self.queue.evictable(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable
+            c for c in self.queue.select_evictions(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable
         ]
         for client in evicted:
             self.evictions[client.stage.value] += 1
@@ -144,11 +144,11 @@
         If memory is short, the partial request that has been silent the longest is closed, so that stalled
         requests don't block those that make progress.
         """
-        while not self.payloads.take(count):
+        while not self.payloads.acquire(count):
             others = (
-                c for c in self.clients if c.stage is Stage.HALF and c.reserved_bytes and c is not client
+                c for c in self.clients if c.stage is Stage.PARTIAL and c.reserved_bytes and c is not client
             )
-            stalled = evictable(others, trio.current_time(), 1)
+            stalled = select_evictions(others, trio.current_time(), 1)
             if not stalled or stalled[0].readable:
                 return False
             self.evictions["payload"] += 1
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -9,9 +9,9 @@
 
 from ...interface import Metric, Status
 from ...routing.types import RPC, AttemptProgress, AttemptResult
-from ...transport.budget import Descriptors
+from ...transport.budget import DescriptorBudget
 from ...transport.connection import Connection, ConnectionLost, Dial, dial
-from ...transport.pool import Pool
+from ...transport.pool import ConnectionPool
 from .. import server_client
 from ..loads import LOAD_REPORT_HEADER, parse_load
 from ..server_client import PooledServerClient, ServerProtocolError
@@ -155,7 +155,7 @@
     def __init__(
         self,
         address: str,
-        budget: Descriptors,
+        budget: DescriptorBudget,
         connect_timeout_s: float,
         conn_idle_s: float,
         probe_path: str,
@@ -163,7 +163,7 @@
         max_idle: int = 1 << 30,
     ) -> None:
         super().__init__(
-            Pool(
+            ConnectionPool(
                 address, ServerConnection, budget, connect_timeout_s, conn_idle_s, dial, max_idle, MIN_IDLE_S
             )
         )
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -61,7 +61,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        return self.stage in (Stage.HALF, Stage.TAKEN)
+        return self.stage in (Stage.PARTIAL, Stage.TAKEN)
 
     def close_if_idle(self) -> bool:
         if self.is_closing:  # its last answer may be unread, and an immediate close could reset it
@@ -83,7 +83,7 @@
     def set_stage(self, stage: Stage) -> None:
         """Enter a stage now, and update the eviction queue."""
         self.stage, self.since = stage, trio.current_time()
-        self.front.queue.enter(self)
+        self.front.queue.add(self)
 
     # Called by the core: the methods of EventSink.
 
@@ -107,7 +107,7 @@
         self.finished.set()
 
     def has_client_left(self) -> bool:
-        return self.connection.ended()
+        return self.connection.has_peer_closed()
 
     # Reading requests and writing answers.
 
@@ -127,12 +127,12 @@
 
     def release_body(self) -> None:
         """Release the memory budget of the request's body."""
-        self.front.payloads.give_back(self.reserved_bytes)
+        self.front.payloads.release(self.reserved_bytes)
         self.reserved_bytes = 0
 
     def release_pipelined(self) -> None:
         """Release the memory budget of pipelined bytes, once they are parsed or discarded."""
-        self.front.payloads.give_back(self.pipelined_bytes)
+        self.front.payloads.release(self.pipelined_bytes)
         self.pipelined_bytes = 0
 
     async def run(self) -> None:
@@ -194,7 +194,7 @@
             self.is_closing = True
             with trio.CancelScope() as self.waiting:
                 self.set_stage(Stage.IDLE)
-                await self.connection.hang_up(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
+                await self.connection.lingering_close(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
 
     def has_next_request(self) -> bool:
         """Return whether a part of the next request has been received."""
@@ -229,7 +229,7 @@
                 self.front.pass_connection or not await self.received_meanwhile()
             ):
                 return None
-        self.set_stage(Stage.HALF)
+        self.set_stage(Stage.PARTIAL)
         if self.has_sent_request:
             head_deadline = trio.current_time() + limits.HEAD_TIMEOUT_S
         self.has_sent_request = True
@@ -261,7 +261,7 @@
                     raise ImmediateAnswer(503, "too much was sent ahead", (CLOSE,))
                 data = await self.connection.receive()
                 self.since = trio.current_time()
-                self.front.queue.enter(self)
+                self.front.queue.add(self)
                 self.arrivals.add(len(data), self.since)
                 self.parser.receive_data(data)
             elif isinstance(event, h11.ConnectionClosed):
@@ -363,7 +363,7 @@
     def buffer_pipelined(self, data: bytes) -> None:
         """Buffer bytes of pipelined requests in the parser, within the memory limits, or discard them."""
         fits = self.pipelined_bytes + len(data) <= MAX_PIPELINED_BYTES
-        if self.is_discarding or not fits or not self.front.payloads.take(len(data)):
+        if self.is_discarding or not fits or not self.front.payloads.acquire(len(data)):
             self.is_discarding = True
             return
         self.pipelined_bytes += len(data)
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -10,7 +10,7 @@
 from ..interface import Status
 from ..routing.types import RPC, AttemptProgress, AttemptResult
 from ..transport.connection import ConnectionLost, DialFailed, LocalShortage, NoListener
-from ..transport.pool import Line, Pool
+from ..transport.pool import ConnectionPool, PooledConnection
 
 # The time without an event after which a response stream counts as broken. Without it clients would wait for
 # ever for a machine that vanished, since such a machine sends no reset. Longer than a slow server's pauses
@@ -39,7 +39,7 @@
     return Status.NO_LISTENER if isinstance(error, NoListener) else Status.CONNECT_FAILED
 
 
-L = TypeVar("L", bound=Line)
+L = TypeVar("L", bound=PooledConnection)
 E = TypeVar("E")
 
 
@@ -49,7 +49,7 @@
     `L` is the type of a connection with its parser, `E` that of a request and its answer on a connection.
     """
 
-    def __init__(self, pool: Pool[L]) -> None:
+    def __init__(self, pool: ConnectionPool[L]) -> None:
         self._pool = pool
         self.close_idle = pool.close_idle
         self.discard = pool.discard
@@ -95,7 +95,7 @@
             completed = True
             return result
         finally:  # closes the connection of an incomplete exchange, which cancels the attempt at the server
-            self._pool.give_back(connection, completed)
+            self._pool.release(connection, completed)
 
     async def probe(self) -> AttemptResult:
         with trio.move_on_after(PROBE_TIMEOUT_S):
@@ -111,5 +111,5 @@
             except (ConnectionLost, ServerProtocolError) as error:
                 return AttemptResult(Status.RESET, note=str(error))
             finally:
-                self._pool.give_back(connection, completed)
+                self._pool.release(connection, completed)
         return AttemptResult(Status.TIMEOUT)
--- a/sorreldock/routing/pace.py
+++ b/sorreldock/routing/pace.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..hashing import MASK, key_of
+from ..hashing import MASK, hash_text
 from ..interface import Event, Limits
 
 LONG_BATCH_S = 0.01  # a batch that blocks the event loop for longer is reported in the log
@@ -28,7 +28,7 @@
     if not limits.retry_advice:
         return 0.0
     shortest, longest = RETRY_AFTER_RANGE_S
-    return min(shortest + (longest - shortest) * key_of(request) / MASK, limits.max_retry_after_s)
+    return min(shortest + (longest - shortest) * hash_text(request) / MASK, limits.max_retry_after_s)
 
 
 @dataclass(slots=True)
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from ..hashing import key_of
+from ..hashing import hash_text
 from ..interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
 from .subchannel import AttemptCallback, ProbeCallback, Subchannel, Update
 from .types import ResolverResult, ServerClientFactory, Target
@@ -37,7 +37,7 @@
         """
         known = bool(self.subchannels) and not send_all
         # The same on every router, since the draw depends on it.
-        numbers = [key_of(target.uid) for target in result.targets]
+        numbers = [hash_text(target.uid) for target in result.targets]
         entries = self._drop_unlisted(set(numbers)) if result.kind is not ListKind.DELTA else []
         for number, target in zip(numbers, result.targets, strict=True):
             subchannel = self.subchannels.get(number)
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from .budget import Descriptors, Use
+from .budget import DescriptorBudget, Use
 from .connection import Connection, split_address
-from .failures import is_resource_shortage, repeated
+from .failures import is_resource_shortage, retry_transient
 from .system import MACHINE, System
 
 ACCEPT_PAUSE_S = 0.01  # after a failed accept: the system may be short of descriptors or memory
@@ -24,7 +24,7 @@
     """Accepts connections within the descriptor budget."""
 
     def __init__(
-        self, address: str, budget: Descriptors, system: System = MACHINE, inherited: int | None = None
+        self, address: str, budget: DescriptorBudget, system: System = MACHINE, inherited: int | None = None
     ) -> None:
         host, port = split_address(address)
         self._family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -48,12 +48,12 @@
             return self._name()
         shortages: list[OSError] = []
 
-        def is_passing(error: OSError) -> bool:
+        def is_transient(error: OSError) -> bool:
             shortages.append(error)
             return is_resource_shortage(error)
 
         with trio.move_on_after(BIND_S) as scope:
-            self._sock = await repeated(self._bound, is_passing)
+            self._sock = await retry_transient(self._bound, is_transient)
         if scope.cancelled_caught:
             raise shortages[-1]
         return self._name()
@@ -61,7 +61,7 @@
     async def listen(self) -> None:
         """Let clients connect; of no effect on a socket that listens already."""
         if not self._inherited and not self._listens:
-            await repeated(self._listen, is_resource_shortage)
+            await retry_transient(self._listen, is_resource_shortage)
             self._listens = True
 
     async def _listen(self) -> None:
@@ -102,8 +102,8 @@
     ) -> None:
         """Accept one connection once there is a descriptor for it; pauses behind a failure."""
         # Guards the descriptor limit: with all in use, newcomers wait in the kernel's backlog.
-        while not self._budget.take(Use.CLIENT):
-            await self._budget.freed(0.05)
+        while not self._budget.acquire(Use.CLIENT):
+            await self._budget.wait_released(0.05)
         if not await self._accept(nursery, handle):
             await trio.sleep(ACCEPT_PAUSE_S)
 
@@ -123,12 +123,12 @@
         try:
             sock, _ = await self._sock.accept()
         except OSError:  # the newcomer has gone again, or this machine is short of something
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
             return False
         except trio.Cancelled:
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
             raise
-        connection = Connection(sock, lambda: self._budget.give_back(Use.CLIENT), self._wait_readable)
+        connection = Connection(sock, lambda: self._budget.release(Use.CLIENT), self._wait_readable)
         nursery.start_soon(self._attend, handle, connection)
         return True
 
@@ -138,7 +138,7 @@
         """Serve a connection that another process has accepted, and the budget counts already."""
 
         def release() -> None:
-            self._budget.give_back(Use.CLIENT)
+            self._budget.release(Use.CLIENT)
 
         try:
             sock = self._inherited_socket(descriptor)
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -14,17 +14,17 @@
 import h2.events
 import h2.exceptions
 import trio
-from peers import Engine, Router
+from peers import Router, ScriptedServer
 
 from sorreldock.kserve import kserve_pb2 as pb
-from sorreldock.kserve.framing import Farewells
+from sorreldock.kserve.framing import GoAwayFilter
 from sorreldock.program.config import Kserve, Operator
 
 METADATA = {"sorreldock-class": "alt-text", "sorreldock-tenant": "acme", "sorreldock-session": "s1"}
 BOTH = Operator(
     kserve=Kserve("127.0.0.1:0", ("desc",), "", "", 30.0),
     server_protocols=("http", "kserve"),
-    least_severity="emerg",
+    min_severity="emerg",
 )
 
 
@@ -127,7 +127,7 @@
         self.streams: dict[int, Stream] = {}
         self.changed = trio.Event()
         self.turn = trio.Lock()
-        self.farewells = Farewells(preface=not client)
+        self.goaway_filter = GoAwayFilter(preface=not client)
         self.closed = self.going = False
         self.h2.initiate_connection()
 
@@ -140,8 +140,10 @@
         await self.flush()
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError, h2.exceptions.ProtocolError):
             while data := await self.stream.receive_some(65536):
-                rest, farewells = self.farewells.strip(data)  # h2 itself would take the connection for closed
-                self.going = self.going or bool(farewells)
+                rest, goaways = self.goaway_filter.strip(
+                    data
+                )  # h2 itself would take the connection for closed
+                self.going = self.going or bool(goaways)
                 for event in self.h2.receive_data(rest):
                     self.take(event, on_request)
                 await self.flush()
@@ -173,16 +175,16 @@
                     on_request(stream)
 
 
-async def serve_well(call: Stream) -> None:
+async def answer_in_full(call: Stream) -> None:
     await call.start()
     await call.send(piece(1), piece(2))
     await call.finish(0)
 
 
-class SharedEngine(Engine):
+class SharedEngine(ScriptedServer):
     """Both protocols on one port, told apart by HTTP/2's preface."""
 
-    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, grpc_script: Callable[[Stream], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
         self.grpc_script = grpc_script
         self.grpc_scripts: list[Callable[[Stream], Awaitable[None]]] = []
@@ -201,12 +203,12 @@
 
     async def _follow(self, call: Stream) -> None:
         self.grpc_calls.append(call)
-        self.out += 1
-        self.most_out = max(self.most_out, self.out)
+        self.open_requests += 1
+        self.max_open_requests = max(self.max_open_requests, self.open_requests)
         try:
             await (self.grpc_scripts.pop(0) if self.grpc_scripts else self.grpc_script)(call)
         finally:
-            self.out -= 1
+            self.open_requests -= 1
 
 
 class Rest:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -54,7 +54,7 @@
 EVENTS = [b'data: {"n":1}\n\n', b'data: {"n":2}\n\n', b"data: [DONE]\n\n"]
 
 
-def story(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
+def trio_test(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
     """A test that runs in trio, and fails rather than hangs."""
 
     @functools.wraps(test)
@@ -68,7 +68,7 @@
     return run
 
 
-class Wire:
+class HttpConnection:
     """One end of an HTTP/1.1 connection."""
 
     def __init__(self, stream: Any, role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
@@ -94,10 +94,10 @@
 
 
 @dataclass
-class Call:
+class ReceivedRequest:
     """A request that has reached a scripted engine."""
 
-    wire: Wire
+    wire: HttpConnection
     head: h11.Request
     body: bytes
 
@@ -115,36 +115,36 @@
         head = h11.Response(status_code=200, headers=[("content-type", "text/event-stream")])
         await self.wire.send(head, *(h11.Data(data=e) for e in events))
 
-    async def more(self, *events: bytes) -> None:
+    async def send_events(self, *events: bytes) -> None:
         await self.wire.send(*(h11.Data(data=e) for e in events))
 
     async def end(self) -> None:
         await self.wire.send(h11.EndOfMessage())
 
-    async def left(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the router has closed this connection."""
         while await self.wire.stream.receive_some(65536):
             pass
 
 
-async def serve_well(call: Call) -> None:
+async def answer_in_full(call: ReceivedRequest) -> None:
     await call.start(*EVENTS)
     await call.end()
 
 
-def serve_until(finish: trio.Event) -> Callable[[Call], Awaitable[None]]:
+def stream_until(finish: trio.Event) -> Callable[[ReceivedRequest], Awaitable[None]]:
     """A script whose answers begin at once, and end when they are told."""
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await finish.wait()
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
     return slowly
 
 
-class Unsignalled(Machine):
+class MachineWithoutSignals(Machine):
     """For programs in one process with others and with the tests: of two that took its signals, the one that
     ends last would put the handlers of the other one back. Stories of signals start processes.
     """
@@ -179,28 +179,28 @@
         raise NotImplementedError
 
 
-class Engine(Peer):
+class ScriptedServer(Peer):
     """An engine that follows a script for each request; `scripts` are used up first, one a request."""
 
-    def __init__(self, script: Callable[[Call], Awaitable[None]] = serve_well) -> None:
+    def __init__(self, script: Callable[[ReceivedRequest], Awaitable[None]] = answer_in_full) -> None:
         super().__init__()
         self.script = script
-        self.scripts: list[Callable[[Call], Awaitable[None]]] = []
-        self.calls: list[Call] = []
-        self.out = self.most_out = 0
+        self.scripts: list[Callable[[ReceivedRequest], Awaitable[None]]] = []
+        self.received_requests: list[ReceivedRequest] = []
+        self.open_requests = self.max_open_requests = 0
 
     async def attend(self, stream: Any) -> None:
-        wire = Wire(stream, h11.SERVER)
+        wire = HttpConnection(stream, h11.SERVER)
         while True:
             head, body = await wire.message()
-            call = Call(wire, head, body)
-            self.calls.append(call)
-            self.out += 1
-            self.most_out = max(self.most_out, self.out)
+            call = ReceivedRequest(wire, head, body)
+            self.received_requests.append(call)
+            self.open_requests += 1
+            self.max_open_requests = max(self.max_open_requests, self.open_requests)
             try:
                 await (self.scripts.pop(0) if self.scripts else self.script)(call)
             finally:
-                self.out -= 1
+                self.open_requests -= 1
             if wire.parser.our_state is not h11.DONE:
                 return
             wire.parser.start_next_cycle()
@@ -213,13 +213,13 @@
         super().__init__()
         self.engines = engines
         self.rev = 1
-        self.refuse = 0
+        self.watches_to_refuse = 0
         self.watches = 0
         self.states: dict[str, str] = {}
         self.changed = trio.Event()
         self.watching = trio.Event()
-        self.nonsense: list[bytes] = []  # lines that come first, one a watch
-        self.others: list[str] = []  # addresses of engines that are only listed
+        self.malformed_lines: list[bytes] = []  # lines that come first, one a watch
+        self.extra_addresses: list[str] = []  # addresses of engines that are only listed
         self.indent: int | None = None
 
     def targets(self) -> list[dict[str, Any]]:
@@ -234,28 +234,28 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for i, e in enumerate([e.address for e in self.engines] + self.others)
+            for i, e in enumerate([e.address for e in self.engines] + self.extra_addresses)
         ]
 
     def listing(self) -> dict[str, Any]:
         return {"rev": self.rev, "all": True, "targets": self.targets()}
 
-    def tell(self, **states: str) -> None:
+    def push_states(self, **states: str) -> None:
         self.states.update(states)
         self.rev += 1
         self.changed.set()
         self.changed = trio.Event()
 
     async def attend(self, stream: trio.SocketStream) -> None:
-        wire = Wire(stream, h11.SERVER)
+        wire = HttpConnection(stream, h11.SERVER)
         await wire.message()
         self.watches += 1
-        if self.watches <= self.refuse:
-            await Call(wire, None, b"").answer(503)  # type: ignore[arg-type]
+        if self.watches <= self.watches_to_refuse:
+            await ReceivedRequest(wire, None, b"").answer(503)  # type: ignore[arg-type]
             return
         await wire.send(h11.Response(status_code=200, headers=[]))
-        if self.nonsense:
-            await wire.send(h11.Data(data=self.nonsense.pop(0) + b"\n"))
+        if self.malformed_lines:
+            await wire.send(h11.Data(data=self.malformed_lines.pop(0) + b"\n"))
             await until_left(stream)
             return
         while True:
@@ -293,20 +293,22 @@
     def address(self) -> str:
         return self.program.addresses["http"]
 
-    async def connect(self) -> Wire:
+    async def connect(self) -> HttpConnection:
         host, port = self.address.rsplit(":", 1)
-        return Wire(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
+        return HttpConnection(await trio.open_tcp_stream(host, int(port)), h11.CLIENT)
 
-    async def ask(self, method: str, target: str, body: bytes = b"", **headers: str | None) -> Answer:
+    async def send_request(
+        self, method: str, target: str, body: bytes = b"", **headers: str | None
+    ) -> Answer:
         wire = await self.connect()
         async with wire.stream:
             await wire.send(request(method, target, body, headers), h11.Data(data=body), h11.EndOfMessage())
-            return await answer(wire)
+            return await read_answer(wire)
 
     async def post(self, body: bytes = b"{}", **headers: str | None) -> Answer:
-        return await self.ask("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
+        return await self.send_request("POST", "/v1/chat/completions?x=1", body, **{**FIELDS, **headers})
 
-    async def start_post(self, **headers: str | None) -> Wire:
+    async def start_post(self, **headers: str | None) -> HttpConnection:
         """A request whose answer the test reads by itself."""
         wire = await self.connect()
         await wire.send(
@@ -317,9 +319,9 @@
         return wire
 
 
-async def streaming(router: Router, engine: Engine, finish: trio.Event) -> Wire:
+async def start_streaming(router: Router, engine: ScriptedServer, finish: trio.Event) -> HttpConnection:
     """A request whose answer has begun, and ends when it is told."""
-    engine.scripts.append(serve_until(finish))
+    engine.scripts.append(stream_until(finish))
     wire = await router.start_post(x_trace_id="taken")
     await wire.next()
     return wire
@@ -344,7 +346,7 @@
     )
 
 
-async def answer(wire: Wire) -> Answer:
+async def read_answer(wire: HttpConnection) -> Answer:
     head = await wire.next()
     body, whole = b"", False
     try:
@@ -357,7 +359,7 @@
 
 
 @asynccontextmanager
-async def among(
+async def running_router(
     *engines: Peer,
     discovery: Discovery | None = None,
     operator: Operator | None = None,
@@ -372,7 +374,7 @@
     raw["policy_limits"] = {**SETTINGS["policy_limits"], **settings.get("limits", {})}
     async with trio.open_nursery() as peers:
         for peer in (*engines, discovery):
-            await peers.start(_hold, peer)
+            await peers.start(_run_peer, peer)
         config = Config(
             "n1",
             "127.0.0.1:0",
@@ -381,21 +383,21 @@
             sockets,
             decode_settings(raw),
             decode_result(discovery.listing(), ListKind.CACHED),
-            operator or Operator(least_severity="emerg"),
+            operator or Operator(min_severity="emerg"),
             console=console,
         )
         async with trio.open_nursery() as nursery:
-            router = Router(Program(config, system=Unsignalled()), nursery)
+            router = Router(Program(config, system=MachineWithoutSignals()), nursery)
             nursery.start_soon(router.program.run)
             await router.program.serving.wait()
             yield router
             router.program.linger_s = 0.0  # nobody comes any more
-            router.program.lifecycle.stop_asked.set()
+            router.program.lifecycle.stop_requested.set()
         assert router.program.lifecycle.phase is Phase.STOPPED
         peers.cancel_scope.cancel()
 
 
-async def _hold(peer: Peer, task_status: trio.TaskStatus[None]) -> None:
+async def _run_peer(peer: Peer, task_status: trio.TaskStatus[None]) -> None:
     async with peer.open():
         task_status.started()
         await trio.sleep_forever()
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -8,31 +8,31 @@
 
 import pytest
 import trio
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
 
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
 from sorreldock.protocol.http.client import HttpServerClient
 from sorreldock.routing.permissions import SCHEDULING_DELAY_S, time_to_finish_writing
 from sorreldock.routing.subchannel import Attempt
-from sorreldock.transport.budget import Descriptors
+from sorreldock.transport.budget import DescriptorBudget
 from sorreldock.transport.connection import Connection
 
 
-@story
+@trio_test
 async def test_a_late_duplicate_answer_is_not_taken_for_the_next_answer() -> None:
     """A faulty server repeats its answer after the connection has become idle."""
-    send_duplicate, server = trio.Event(), Engine()
+    send_duplicate, server = trio.Event(), ScriptedServer()
 
-    async def answer_twice(call: Call) -> None:
-        await serve_well(call)
+    async def answer_twice(call: ReceivedRequest) -> None:
+        await answer_in_full(call)
         await send_duplicate.wait()
         await call.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
         )
 
     server.scripts.append(answer_twice)
-    async with among(server) as router:
+    async with running_router(server) as router:
         assert (await router.post(x_trace_id="t0")).whole
         got = await router.post(
             x_trace_id="t1"
@@ -51,7 +51,7 @@
     assert time_to_finish_writing(0.25) == time_to_finish_writing(5.0) == pytest.approx(0.08)
 
 
-@story
+@trio_test
 async def test_an_attempt_is_not_written_after_its_latest_write_time() -> None:
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
@@ -60,7 +60,7 @@
         assert attempt.may_send() is allowed
 
 
-@story
+@trio_test
 async def test_a_keyed_request_is_not_repeated_after_its_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -85,27 +85,27 @@
 
     monkeypatch.setattr(program_serve, "dialler", slow_dialler)
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
     discovery_address = ""
-    async with among(first, second, categories=categories) as router:
+    async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
         dialled_at.clear()
         got = await router.post()
     assert got.status in (502, 503, 504) and len(dialled_at) == 2
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
-@story
+@trio_test
 async def test_a_refused_connection_is_reported_as_no_listener() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, but not listening
-        closed = HttpServerClient(address, Descriptors(364), 1.0, 60.0, "/alive")
+        closed = HttpServerClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
         assert (await closed.call(attempt, attempt)).status is Status.NO_LISTENER
-    nowhere = HttpServerClient("not-an-address", Descriptors(364), 1.0, 60.0, "/alive")
+    nowhere = HttpServerClient("not-an-address", DescriptorBudget(364), 1.0, 60.0, "/alive")
     assert (await nowhere.probe()).status is Status.CONNECT_FAILED
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,15 @@
 import pytest
 import trio
 import trio.testing
-from peers import Call, Discovery, Engine, Router, Wire, among, story
+from peers import (
+    Discovery,
+    HttpConnection,
+    ReceivedRequest,
+    Router,
+    ScriptedServer,
+    running_router,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.interface import (
@@ -50,7 +58,7 @@
     return received
 
 
-async def burst(router: Router, count: int, time_left: bytes) -> list[Wire]:
+async def burst(router: Router, count: int, time_left: bytes) -> list[HttpConnection]:
     """Send `count` requests at once, so that all arrive before the first one is decided on."""
     wires = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
@@ -60,12 +68,12 @@
     return wires
 
 
-@story
+@trio_test
 async def test_requests_that_wait_too_long_for_a_decision_are_refused_and_all_are_answered_in_time() -> None:
-    server = Engine()
+    server = ScriptedServer()
     durations_s: list[float] = []
     statuses: list[int] = []
-    async with among(server) as router:
+    async with running_router(server) as router:
         received = slow_decisions(router.program.core)
 
         wires = await burst(router, 60, b"1000m")
@@ -84,21 +92,21 @@
     assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in received)
 
 
-@story
+@trio_test
 async def test_drain_notices_and_disconnects_are_processed_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, budget_s: False)
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         core = router.program.core
         received = slow_decisions(core)
         wires = await burst(router, 30, b"5000m")
         while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         last = core._mailbox._requests[-1].request
         await wires.pop(int(last[1:].partition(".")[0])).stream.aclose()
         for wire in wires:
@@ -110,16 +118,16 @@
     assert last not in {event.request for event in received if isinstance(event, RequestArrived)}
 
 
-@story
+@trio_test
 async def test_an_attempt_decided_in_the_same_batch_as_its_clients_disconnect_is_reported_as_ended() -> None:
     release = trio.Event()
 
-    async def fail(call: Call) -> None:
+    async def fail(call: ReceivedRequest) -> None:
         await release.wait()
         await call.answer(500)
 
-    first, second = Engine(fail), Engine(fail)
-    async with among(first, second) as router:
+    first, second = ScriptedServer(fail), ScriptedServer(fail)
+    async with running_router(first, second) as router:
         core = router.program.core
         wire = await router.start_post()
         while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
@@ -136,9 +144,9 @@
         while core.open_rpcs:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
-        assert core._gateway.everywhere.busy == 0 and not core._gateway.requests
+        assert core._gateway.all_zones.open_attempts == 0 and not core._gateway.requests
         await wire.stream.aclose()
-    assert len(first.calls) + len(second.calls) == 1
+    assert len(first.received_requests) + len(second.received_requests) == 1
 
 
 def test_the_mailbox_delivers_requests_after_other_events_and_splits_long_lists() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -13,7 +13,17 @@
 import pytest
 import trio
 import trio.testing
-from peers import EVENTS, FIELDS, SETTINGS, Call, Discovery, Engine, among, serve_until, story
+from peers import (
+    EVENTS,
+    FIELDS,
+    SETTINGS,
+    Discovery,
+    ReceivedRequest,
+    ScriptedServer,
+    running_router,
+    stream_until,
+    trio_test,
+)
 from test_bad_days import raw
 
 from sorreldock.interface import Status
@@ -24,7 +34,7 @@
 from sorreldock.protocol.http import freshness
 from sorreldock.routing.subchannel import Attempt, Subchannel
 from sorreldock.transport.connection import Connection
-from sorreldock.transport.pool import Pool
+from sorreldock.transport.pool import ConnectionPool
 
 ONE = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: alt-text\r\n"
@@ -32,29 +42,29 @@
 )
 
 
-async def refuse(call: Call) -> None:
+async def refuse(call: ReceivedRequest) -> None:
     await call.answer(503, x_never_ran="1", endpoint_load_metrics="TEXT eps=0.0, queue=9")
 
 
-async def fail(call: Call) -> None:
+async def fail(call: ReceivedRequest) -> None:
     await call.answer(500)
 
 
-async def hang(call: Call) -> None:
-    await call.left()
+async def hang(call: ReceivedRequest) -> None:
+    await call.wait_closed()
 
 
-async def begin_and_reset(call: Call) -> None:
+async def begin_and_reset(call: ReceivedRequest) -> None:
     await call.start(EVENTS[0])
 
 
-@story
+@trio_test
 async def test_requests_and_answers_are_forwarded_unchanged() -> None:
-    server = Engine()
-    async with among(server) as router:
+    server = ScriptedServer()
+    async with running_router(server) as router:
         got = await router.post(b'{"model":"chat"}')
     assert (got.status, got.body, got.whole) == (200, b"".join(EVENTS), True)
-    [call] = server.calls
+    [call] = server.received_requests
     assert (call.head.method, call.head.target, call.body) == (
         b"POST",
         b"/v1/chat/completions?x=1",
@@ -64,10 +74,10 @@
     assert 1e6 < int(call.headers["x-expires-in"].removesuffix("u")) < 2e6
 
 
-@story
+@trio_test
 async def test_unknown_fields_are_forwarded_but_hop_by_hop_fields_are_not() -> None:
-    server = Engine()
-    async with among(server) as router:
+    server = ScriptedServer()
+    async with running_router(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(
             raw(
@@ -80,7 +90,7 @@
             )
         )
         assert (await wire.next()).status_code == 200
-    [call] = server.calls
+    [call] = server.received_requests
     names = [name for name, _ in call.head.headers]
     assert call.headers["idempotency-key"] == "k1"
     assert [value for name, value in call.head.headers if name == b"x-note"] == [b"a", b"b"]
@@ -88,17 +98,17 @@
     assert names.count(b"host") == names.count(b"content-length") == names.count(b"x-trace-id") == 1
 
 
-@story
+@trio_test
 async def test_events_are_forwarded_as_they_arrive() -> None:
     more = trio.Event()
 
-    async def slowly(call: Call) -> None:
+    async def slowly(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await more.wait()
-        await call.more(EVENTS[1])
+        await call.send_events(EVENTS[1])
         await call.end()
 
-    async with among(Engine(slowly)) as router:
+    async with running_router(ScriptedServer(slowly)) as router:
         wire = await router.start_post()
         assert (await wire.next()).status_code == 200
         assert (await wire.next()).data == EVENTS[0]
@@ -107,81 +117,81 @@
 
 
 @pytest.mark.parametrize("script, never_ran", [(refuse, True), (fail, False), (begin_and_reset, False)])
-@story
+@trio_test
 async def test_a_failed_attempt_is_retried_only_before_its_first_event(
     script: object, never_ran: bool
 ) -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
-    async with among(first, second) as router:
+    async with running_router(first, second) as router:
         got = await router.post()
     if script is begin_and_reset:  # the answer has begun: no further attempt, and no last chunk
         assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
-        assert len(first.calls) + len(second.calls) == 1
+        assert len(first.received_requests) + len(second.received_requests) == 1
     else:
-        assert got.status == 503 and len(first.calls) == len(second.calls) == 1
-        assert max(first.most_out, second.most_out) == 1
+        assert got.status == 503 and len(first.received_requests) == len(second.received_requests) == 1
+        assert max(first.max_open_requests, second.max_open_requests) == 1
 
 
-@story
+@trio_test
 async def test_an_rpc_that_the_decision_module_refuses_is_answered_at_once() -> None:
-    async with among(Engine(refuse)) as router:
+    async with running_router(ScriptedServer(refuse)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="4000m")
         assert got.status == 503 and trio.current_time() - began < 1.0
         assert 0.0 < float(got.headers["retry-after"]) <= 2.0
 
 
-@story
+@trio_test
 async def test_the_deadline_applies_until_the_first_event_only() -> None:
-    async def late(call: Call) -> None:
+    async def late(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         await trio.sleep(0.3)  # longer than the deadline, which no longer applies
-        await call.more(*EVENTS[1:])
+        await call.send_events(*EVENTS[1:])
         await call.end()
 
-    async with among(Engine(late)) as router:
+    async with running_router(ScriptedServer(late)) as router:
         assert (await router.post(x_expires_in="200m")).whole
-    async with among(Engine(hang)) as router:
+    async with running_router(ScriptedServer(hang)) as router:
         began = trio.current_time()
         got = await router.post(x_expires_in="300m")
         assert got.status in (503, 504) and trio.current_time() - began < 0.3
 
 
-@story
+@trio_test
 async def test_a_disconnecting_client_cancels_its_attempt() -> None:
     left = trio.Event()
 
-    async def until_left(call: Call) -> None:
+    async def until_left(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
-        await call.left()
+        await call.wait_closed()
         left.set()
 
-    async with among(Engine(until_left)) as router:
+    async with running_router(ScriptedServer(until_left)) as router:
         wire = await router.start_post()
         await wire.next()
         await wire.stream.aclose()
         await left.wait()
 
 
-@story
+@trio_test
 async def test_a_server_that_falls_silent_within_a_stream_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
 
-    async def silent(call: Call) -> None:
+    async def silent(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
-        await call.left()
+        await call.wait_closed()
 
-    async with among(Engine(silent)) as router:
+    async with running_router(ScriptedServer(silent)) as router:
         got = await router.post()
     assert (got.body, got.whole) == (EVENTS[0], False)
 
 
-@story
+@trio_test
 async def test_a_client_connection_is_kept_alive_between_requests() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         for trace in (b"t1", b"t2", b"t3"):
             await wire.stream.send_all(ONE % trace)
@@ -192,41 +202,41 @@
                 data += more
 
 
-@story
+@trio_test
 async def test_connections_are_reused_but_not_near_the_servers_idle_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http_client, "MIN_IDLE_S", 0.0)
-    server = Engine()
-    async with among(server) as router:
+    server = ScriptedServer()
+    async with running_router(server) as router:
         for _ in range(3):
             await router.post()
         assert server.connections == 1
-        monkeypatch.setattr(Pool, "REUSED_BEFORE", 0.0)
-    server = Engine()
-    async with among(server) as router:
+        monkeypatch.setattr(ConnectionPool, "MAX_IDLE_SHARE", 0.0)
+    server = ScriptedServer()
+    async with running_router(server) as router:
         await router.post()
         await router.post()
     assert server.connections == 2
 
 
-@story
+@trio_test
 async def test_no_new_request_is_sent_to_a_draining_server() -> None:
-    first, second = Engine(), Engine()
+    first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
-    async with among(first, second, discovery=discovery) as router:
+    async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
-        discovery.tell(e0="Terminating")
+        discovery.push_states(e0="Terminating")
         while router.program.core.can_serve() and all(
             s.ready for s in router.program.core.subchannels.values()
         ):
             await trio.sleep(0.005)
         for _ in range(8):
             assert (await router.post(x_object=None)).whole
-    assert (len(first.calls), len(second.calls)) == (0, 8)
+    assert (len(first.received_requests), len(second.received_requests)) == (0, 8)
 
 
-@story
+@trio_test
 async def test_an_attempt_that_is_still_connecting_is_not_sent_to_a_draining_server() -> None:
     with socket.socket() as stuck, socket.socket() as first, socket.socket() as second:
         stuck.bind(("127.0.0.1", 0))
@@ -234,10 +244,13 @@
         for filler in (first, second):
             filler.setblocking(False)
             filler.connect_ex(stuck.getsockname())
-        unreachable, good = Engine(), Engine()
+        unreachable, good = ScriptedServer(), ScriptedServer()
         unreachable.address = f"127.0.0.1:{stuck.getsockname()[1]}"
         discovery = Discovery(unreachable)
-        async with good.open(), among(discovery=discovery, limits={"connect_timeout_s": 60.0}) as router:
+        async with (
+            good.open(),
+            running_router(discovery=discovery, limits={"connect_timeout_s": 60.0}) as router,
+        ):
             await discovery.watching.wait()
             async with trio.open_nursery() as nursery:
 
@@ -249,11 +262,11 @@
                 while not any(entry.in_flight for entry in core.open_rpcs.values()):
                     await trio.sleep(0.005)
                 discovery.engines = (unreachable, good)
-                discovery.tell(e0="Terminating")
-    assert len(good.calls) == 1
+                discovery.push_states(e0="Terminating")
+    assert len(good.received_requests) == 1
 
 
-@story
+@trio_test
 async def test_an_attempt_is_not_sent_after_its_client_disconnected_or_its_server_began_to_drain() -> None:
     subchannel = SimpleNamespace(ready=True)
     connected = [True]
@@ -265,7 +278,7 @@
     assert not attempt.may_send()
 
 
-@story
+@trio_test
 async def test_an_answer_whose_first_event_arrives_with_the_deadline_is_not_started() -> None:
     """A busy process sees both in the same step; the expired deadline would cut off the answer."""
     results: list[Any] = []
@@ -283,31 +296,31 @@
     assert results[0][1].status is Status.TIMEOUT and not attempt.started
 
 
-@story
+@trio_test
 async def test_a_disconnect_behind_pipelined_requests_is_detected_and_stops_the_attempts() -> None:
     disconnected, received = trio.Event(), trio.Event()
 
-    async def hold(call: Call) -> None:
+    async def hold(call: ReceivedRequest) -> None:
         received.set()
-        await call.left()
+        await call.wait_closed()
         disconnected.set()
 
-    server = Engine(hold)
-    async with among(server) as router:
+    server = ScriptedServer(hold)
+    async with running_router(server) as router:
         wire = await router.start_post()
         await received.wait()
         await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 60_000) * 3)
         await wire.stream.aclose()  # a close behind more bytes than a connection's buffer holds
         with trio.fail_after(1.0):
             await disconnected.wait()
-    assert len(server.calls) == 1 and router.program.payloads.used == 0
+    assert len(server.received_requests) == 1 and router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_pipelined_requests_are_answered_in_order_and_their_timeouts_run_while_they_wait() -> None:
-    finish_first, server = trio.Event(), Engine()
-    server.scripts.append(serve_until(finish_first))
-    async with among(server) as router:
+    finish_first, server = trio.Event(), ScriptedServer()
+    server.scripts.append(stream_until(finish_first))
+    async with running_router(server) as router:
         wire = await router.connect()
         requests = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
         await wire.stream.send_all(b"".join(requests))
@@ -316,7 +329,7 @@
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 4:
             data += await wire.stream.receive_some(65536)
-    timeouts_s = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in server.calls]
+    timeouts_s = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in server.received_requests]
     assert (
         timeouts_s[0] > 0.8
         and all(wait < 0.65 for wait in timeouts_s[1:])
@@ -324,11 +337,11 @@
     )
 
 
-@story
+@trio_test
 async def test_a_stopping_router_answers_pipelined_requests() -> None:
-    finish, server = trio.Event(), Engine()
-    server.scripts.append(serve_until(finish))
-    async with among(server) as router:
+    finish, server = trio.Event(), ScriptedServer()
+    server.scripts.append(stream_until(finish))
+    async with running_router(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(raw(x_trace_id=b"taken"))
         data = await wire.stream.receive_some(65536)  # a head without `Connection: close`
@@ -345,25 +358,25 @@
                         raw(x_trace_id=b"late")
                     )  # sent while the router closes the connection
     assert data.count(b"\r\n0\r\n\r\n") == 2 and data.count(b"connection: close") == 1
-    assert [call.headers["x-trace-id"] for call in server.calls] == ["taken", "ahead"]
+    assert [call.headers["x-trace-id"] for call in server.received_requests] == ["taken", "ahead"]
 
 
-@story
+@trio_test
 async def test_a_close_by_the_peer_is_detected_without_waiting() -> None:
     router_end, peer_end = socket.socketpair()
     router_end.setblocking(False)
     connection = Connection(trio.socket.from_stdlib_socket(router_end), lambda: None)
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     peer_end.send(b"ahead")
-    assert not connection.ended()
+    assert not connection.has_peer_closed()
     peer_end.close()
-    assert connection.ended() and await connection.receive() == b"ahead"
+    assert connection.has_peer_closed() and await connection.receive() == b"ahead"
 
 
-@story
+@trio_test
 async def test_large_requests_beyond_the_payload_budget_are_refused() -> None:
-    async with among(Engine()) as router:
-        router.program.payloads.most = 1000
+    async with running_router(ScriptedServer()) as router:
+        router.program.payloads.max_used = 1000
         got = await router.post(b"x" * 2000)
         assert (got.status, got.headers["retry-after"]) == (503, "1")
         for _ in range(3):  # answered requests are no longer counted
@@ -371,12 +384,12 @@
         assert router.program.payloads.used == 0
 
 
-@story
+@trio_test
 async def test_a_body_is_freed_once_its_answer_streams() -> None:
-    finish, server = trio.Event(), Engine()
-    server.script = serve_until(finish)
+    finish, server = trio.Event(), ScriptedServer()
+    server.script = stream_until(finish)
     body, count = b"x" * 250_000, 12
-    async with among(server) as router:
+    async with running_router(server) as router:
         gc.collect()
         tracemalloc.start()
         try:
@@ -390,38 +403,38 @@
         finally:
             tracemalloc.stop()
             finish.set()
-        assert len(server.calls) == count and router.program.payloads.used == 0
+        assert len(server.received_requests) == count and router.program.payloads.used == 0
         # The scripted server keeps each body once; a router that kept them would allocate as much again.
         assert allocated < 1.5 * count * len(body)
         for wire in wires:
             await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_a_refused_or_stalled_watch_is_restarted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(freshness, "HEARTBEAT_TIMEOUT_S", 0.1)
-    server = Engine()
+    server = ScriptedServer()
     discovery = Discovery(server)
-    discovery.refuse = 1
-    async with among(server, discovery=discovery):
+    discovery.watches_to_refuse = 1
+    async with running_router(server, discovery=discovery):
         while discovery.watches < 3:  # the first is refused, the second stalls
             await trio.sleep(0.01)
 
 
-@story
+@trio_test
 async def test_a_malformed_list_ends_the_watch_but_not_the_program() -> None:
-    server = Engine()
+    server = ScriptedServer()
     discovery = Discovery(server)
     entry = b'{"rev":2,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","az":"a","state":"Ready",%b}]}'
-    discovery.nonsense = [
+    discovery.malformed_lines = [
         b"[" * 100_000,
         b"\xff",
         entry % b'"capacity_hint":NaN',
         entry % b'"pod_group":1e999',
     ]
-    async with among(
+    async with running_router(
         server, discovery=discovery, contract={**SETTINGS["contract"], "must_ask_in_s": 0.2}
     ) as router:
         await discovery.watching.wait()
@@ -429,41 +442,41 @@
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 @pytest.mark.parametrize("how", ["ask", "push"])
 async def test_an_indented_list_of_1024_servers_is_applied_completely_by_one_of_1024_routers(
     how: str,
 ) -> None:
-    server = Engine()
+    server = ScriptedServer()
     discovery = Discovery(server)
     discovery.indent = 4
-    discovery.nonsense = [
+    discovery.malformed_lines = [
         b'{"rev": 2,\n "targets": [{\n',
         b"{\n}]",
     ]  # truncated; one closing bracket too many
     contract = {**SETTINGS["contract"], "must_ask_in_s": 0.2}
     if how == "push":
         del contract["must_ask_in_s"]
-    async with among(
+    async with running_router(
         server, discovery=discovery, lists=how, balancers=1024, me=1023, contract=contract
     ) as router:
         await discovery.watching.wait()
         assert discovery.watches == 3
-        discovery.others = [f"127.0.0.1:{1 + n}" for n in range(1023)]
-        discovery.tell(e7="Gone")
+        discovery.extra_addresses = [f"127.0.0.1:{1 + n}" for n in range(1023)]
+        discovery.push_states(e7="Gone")
         while len(router.program.core.subchannels) < 1023:
             await trio.sleep(0.01)
-        discovery.others = []
-        discovery.tell()
+        discovery.extra_addresses = []
+        discovery.push_states()
         while len(router.program.core.subchannels) > 1:
             await trio.sleep(0.01)
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 async def test_invalid_requests_are_answered_with_matching_statuses() -> None:
-    async with among(Engine()) as router:
-        assert (await router.ask("GET", "/up")).status == 200
+    async with running_router(ScriptedServer()) as router:
+        assert (await router.send_request("GET", "/up")).status == 200
         for invalid in (
             {"x_trace_id": None},
             {"x_qos": "nothing"},
@@ -474,8 +487,8 @@
             {"x_props": "prompt_len=many"},
         ):
             assert (await router.post(**invalid)).status == 400, invalid
-        assert (await router.ask("GET", "/nowhere")).status == 404
-        rejected = await router.ask("GET", "/v1/chat/completions")
+        assert (await router.send_request("GET", "/nowhere")).status == 404
+        rejected = await router.send_request("GET", "/v1/chat/completions")
         assert (rejected.status, rejected.headers["allow"]) == (405, "POST")
         assert (await router.post(b"x" * (256 * 1024 + 1))).status == 413
         assert (await router.post(b"x" * (256 * 1024))).status == 200
@@ -484,12 +497,12 @@
         assert b" 400 " in await wire.stream.receive_some(100)
 
 
-@story
+@trio_test
 async def test_a_slow_head_or_an_unfinished_request_does_not_affect_other_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.05)
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.connect()
         await wire.stream.send_all(b"POST /v1/chat")
         assert b" 408 " in await wire.stream.receive_some(100)
@@ -501,20 +514,20 @@
         assert (await router.post()).whole
 
 
-@story
+@trio_test
 async def test_a_slow_reader_slows_its_server_down_and_gets_the_whole_answer() -> None:
     sent = 0
     chunk = b"data: " + b"x" * 60000 + b"\n\n"
 
-    async def flood(call: Call) -> None:
+    async def flood(call: ReceivedRequest) -> None:
         nonlocal sent
         await call.start()
         for _ in range(400):
-            await call.more(chunk)
+            await call.send_events(chunk)
             sent += 1
         await call.end()
 
-    async with among(Engine(flood)) as router:
+    async with running_router(ScriptedServer(flood)) as router:
         wire = await router.start_post()
         await wire.next()
         await trio.testing.wait_all_tasks_blocked(0.1)  # until no more bytes are transferred
@@ -525,19 +538,21 @@
         assert got == chunk * 400
 
 
-@story
+@trio_test
 async def test_sigterm_answers_all_accepted_requests_and_ends_the_program() -> None:
     finish = trio.Event()
-    slowly = serve_until(finish)
-    async with among(Engine(slowly)) as router:
+    slowly = stream_until(finish)
+    async with running_router(ScriptedServer(slowly)) as router:
         idle = await router.connect()
         wire = await router.start_post()
         await wire.next()
         program = router.program
-        program.lifecycle.stop_asked.set()
+        program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.005)
-        assert (await router.ask("GET", "/up")).status == 503  # still accepts connections, but is not ready
+        assert (
+            await router.send_request("GET", "/up")
+        ).status == 503  # still accepts connections, but is not ready
         late = await router.start_post(x_trace_id="late")
         while program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
@@ -550,13 +565,13 @@
             assert type(event).__name__ == "EndOfMessage" and body == b"".join(EVENTS)
 
 
-@story
+@trio_test
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    server = Engine()
-    async with among(server) as router:
+    server = ScriptedServer()
+    async with running_router(server) as router:
         wire = await router.connect()
         await wire.stream.send_all(ONE % b"t1" + ONE % b"t2")
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 2:
             data += await wire.stream.receive_some(4096)
-    assert [c.headers["x-trace-id"] for c in server.calls] == ["t1", "t2"]
+    assert [c.headers["x-trace-id"] for c in server.received_requests] == ["t1", "t2"]
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -8,9 +8,9 @@
 import pytest
 import trio
 import trio.testing
-from grpc_peers import BOTH, METADATA, SharedEngine, Stream, grpc_client, piece, request, serve_well
+from grpc_peers import BOTH, METADATA, SharedEngine, Stream, answer_in_full, grpc_client, piece, request
 from hyperframe.frame import GoAwayFrame
-from peers import among, story
+from peers import running_router, trio_test
 
 from sorreldock.kserve import kserve_pb2 as pb
 from sorreldock.kserve.framing import Code
@@ -45,14 +45,14 @@
     await call.until(lambda: call.end.closed)
 
 
-@story
+@trio_test
 async def test_both_protocols_share_engines_and_each_rpc_gets_one_final_answer() -> None:
     engines = [SharedEngine() for _ in range(3)]
     for engine in engines:
         engine.grpc_scripts = [turn_away, fail]
         engine.scripts = []
     statuses: Counter[str] = Counter()
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(*engines, operator=BOTH) as router, grpc_client(router) as client:
 
         async def http(number: int) -> None:
             got = await router.post(x_trace_id=f"h{number}", x_object=f"s{number}")
@@ -73,11 +73,11 @@
         assert not router.program.core.open_rpcs
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
-    names = Counter(call.headers["x-trace-id"] for e in engines for call in e.calls)
+    names = Counter(call.headers["x-trace-id"] for e in engines for call in e.received_requests)
     assert set(names.values()) == {1}
 
 
-@story
+@trio_test
 async def test_a_request_goes_on_untranslated() -> None:
     async def with_metadata(call: Stream) -> None:
         await call.start()
@@ -85,7 +85,7 @@
         await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
     engine = SharedEngine(with_metadata)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
@@ -96,9 +96,9 @@
     assert 1e6 < int(call.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
 
 
-@story
+@trio_test
 async def test_a_stream_carries_one_request_after_the_other() -> None:
-    async with among(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request(), end=False)
         assert len(await stream.messages(2)) == 2
         await stream.send(request(name="r2"), end=True)
@@ -113,10 +113,10 @@
         (begin_and_close, Code.INTERNAL, 1),
     ],
 )
-@story
+@trio_test
 async def test_how_an_engines_failure_is_told(script: object, code: Code, count: int) -> None:
     engine = SharedEngine(script)  # type: ignore[arg-type]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         assert await stream.answer() == (code, [piece(1)][:count])
         if code is Code.UNAVAILABLE:
@@ -124,25 +124,25 @@
         assert len(engine.grpc_calls) == 1
 
 
-@story
+@trio_test
 async def test_a_class_that_must_not_run_twice_fails_with_internal() -> None:
     categories = [{"name": "alt-text", "aim_s": 1.0, "deadline_s": 4.0, "effect": "unsafe", "stream": True}]
     engines = SharedEngine(fail), SharedEngine(fail)
     async with (
-        among(*engines, operator=BOTH, categories=categories) as router,
+        running_router(*engines, operator=BOTH, categories=categories) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelInfer", request()) == (Code.INTERNAL, [])
     assert sum(len(e.grpc_calls) for e in engines) == 1
 
 
-@story
+@trio_test
 async def test_what_is_wrong_with_a_call_is_said() -> None:
     async def unknown_tensor(call: Stream) -> None:
         await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
     engine = SharedEngine(unknown_tensor)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for method, message, fields, code in (
             ("ModelInfer", b"\xff\xff", {}, Code.INVALID_ARGUMENT),
             ("ModelInfer", request(), {"sorreldock_class": "nothing"}, Code.INVALID_ARGUMENT),
@@ -164,7 +164,7 @@
         assert stream.headers["grpc-message"] == "no such tensor" and len(engine.grpc_calls) == 1
 
 
-@story
+@trio_test
 async def test_the_deadline_runs_until_the_first_message_and_no_longer() -> None:
     async def late(call: Stream) -> None:
         await call.start()
@@ -175,18 +175,18 @@
 
     engine = SharedEngine(late)
     engine.grpc_scripts = [hang]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         began = trio.current_time()
         assert await client.call("ModelInfer", request(), grpc_timeout="300m") == (Code.DEADLINE_EXCEEDED, [])
         assert trio.current_time() - began < 1.0  # not the 4 s of its class
         assert (await client.call("ModelStreamInfer", request(), grpc_timeout="250m"))[0] == 0
 
 
-@story
+@trio_test
 async def test_a_cancel_in_mid_stream_reaches_the_engine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
@@ -194,31 +194,31 @@
         await call.until(lambda: call.end.closed)
         while router.program.core.open_rpcs:
             await trio.sleep(0.005)
-        engine.grpc_script = serve_well
+        engine.grpc_script = answer_in_full
         assert (await client.call("ModelInfer", request()))[0] == 0  # the connection lives on
 
 
-@story
+@trio_test
 async def test_a_client_that_vanishes_gives_up_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 60.0)  # nothing else may end the attempt
     engine = SharedEngine(begin_and_hang)
-    async with among(engine, operator=BOTH) as router:
+    async with running_router(engine, operator=BOTH) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
         await engine.grpc_calls[0].until(lambda: engine.grpc_calls[0].end.closed)
 
 
-@story
+@trio_test
 async def test_a_silent_engine_is_noticed_in_mid_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
     async with (
-        among(SharedEngine(begin_and_hang), operator=BOTH) as router,
+        running_router(SharedEngine(begin_and_hang), operator=BOTH) as router,
         grpc_client(router) as client,
     ):
         assert await client.call("ModelStreamInfer", request()) == (Code.INTERNAL, [piece(1)])
 
 
-@story
+@trio_test
 async def test_a_slow_reader_slows_its_engine_alone() -> None:
     sent = 0
     big = pb.ModelStreamInferResponse(error_message="x" * 50_000).SerializeToString()
@@ -231,19 +231,19 @@
         await call.finish(0)
 
     engine = SharedEngine(flood)
-    async with among(engine, operator=BOTH) as router, grpc_client(router, hungry=False) as slow:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router, hungry=False) as slow:
         await slow.start("ModelStreamInfer", request())
         await trio.testing.wait_all_tasks_blocked(0.1)
         assert 0 < sent < 20  # a window or two, and the buffers between
-        engine.grpc_script = serve_well
+        engine.grpc_script = answer_in_full
         async with grpc_client(router) as other:
             assert (await other.call("ModelInfer", request()))[0] == 0
 
 
-@story
+@trio_test
 async def test_engine_connections_are_kept_and_a_farewell_is_heeded() -> None:
     engine = SharedEngine()
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
         assert engine.connections == 1
@@ -254,7 +254,7 @@
         assert engine.connections == 2
 
 
-@story
+@trio_test
 async def test_an_engine_that_says_goaway_in_mid_stream_finishes_it() -> None:
     async def farewell(call: Stream) -> None:
         await call.start()
@@ -267,13 +267,13 @@
 
     engine = SharedEngine()
     engine.grpc_scripts = [farewell]
-    async with among(engine, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(engine, operator=BOTH) as router, grpc_client(router) as client:
         for _ in range(2):
             assert await client.call("ModelStreamInfer", request()) == (0, [piece(1), piece(2)])
     assert engine.connections == 2
 
 
-@story
+@trio_test
 async def test_a_refused_stream_never_ran_and_is_tried_elsewhere() -> None:
     async def refuse(call: Stream) -> None:
         call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
@@ -282,21 +282,21 @@
     engines = SharedEngine(), SharedEngine()
     for engine in engines:
         engine.grpc_scripts = [refuse]
-    async with among(*engines, operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(*engines, operator=BOTH) as router, grpc_client(router) as client:
         assert (await client.call("ModelInfer", request()))[0] == Code.UNAVAILABLE
         assert (await client.call("ModelInfer", request()))[0] == 0
     assert sum(len(e.grpc_calls) for e in engines) == 3
 
 
-@story
+@trio_test
 async def test_a_client_that_answers_no_ping_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
     operator = BOTH.__class__(
         kserve=BOTH.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
         server_protocols=("http", "kserve"),
-        least_severity="emerg",
+        min_severity="emerg",
     )
-    async with among(SharedEngine(), operator=operator) as router:
+    async with running_router(SharedEngine(), operator=operator) as router:
         host, port = router.program.addresses["kserve"].rsplit(":", 1)
         stream = await trio.open_tcp_stream(host, int(port))
         await stream.send_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
@@ -304,7 +304,7 @@
             pass  # it closes: we answer nothing
 
 
-@story
+@trio_test
 async def test_a_stream_cancelled_while_it_waits_to_write_garbles_nothing() -> None:
     ours, theirs = trio.socket.socketpair()
     wire = ServerWire(Connection(ours, lambda: None), 1)
@@ -327,7 +327,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_goaway_and_the_end_of_open_streams_at_sigterm() -> None:
     finish = trio.Event()
 
@@ -337,10 +337,10 @@
         await finish.wait()
         await call.finish(0)
 
-    async with among(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
+    async with running_router(SharedEngine(slowly), operator=BOTH) as router, grpc_client(router) as client:
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
-        router.program.lifecycle.stop_asked.set()
+        router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
         assert client.end.going
@@ -348,7 +348,7 @@
         assert await stream.answer() == (0, [piece(1)])
 
 
-@story
+@trio_test
 async def test_the_stock_client_is_served() -> None:
     def talk(address: str) -> None:
         service = "/inference.GRPCInferenceService/"
@@ -383,7 +383,7 @@
                 infer(pb.ModelInferRequest(model_name="other"), timeout=5, metadata=list(METADATA.items()))
             assert raised.value.code() is grpc.StatusCode.NOT_FOUND  # type: ignore[attr-defined]
 
-    async with among(SharedEngine(), operator=BOTH) as router:
+    async with running_router(SharedEngine(), operator=BOTH) as router:
         await trio.to_thread.run_sync(talk, router.program.addresses["kserve"])
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,47 +13,56 @@
 from hyperframe.frame import DataFrame, GoAwayFrame, SettingsFrame
 from hypothesis import given
 from hypothesis import strategies as st
-from peers import EVENTS, SETTINGS, Call, Engine, among, serve_well, story
-
-from sorreldock.interface import AttemptEnded, Event, FirstToken, Metric, Probe, RequestArrived, Send, Status
-from sorreldock.kserve.framing import Farewell, Farewells
-from sorreldock.program.serve import most_open, payload_bytes
+from peers import EVENTS, SETTINGS, ReceivedRequest, ScriptedServer, answer_in_full, running_router, trio_test
+
+from sorreldock.interface import (
+    AttemptEnded,
+    Event,
+    FirstToken,
+    Metric,
+    Probe,
+    RequestArrived,
+    StartAttempt,
+    Status,
+)
+from sorreldock.kserve.framing import GoAway, GoAwayFilter
+from sorreldock.program.serve import max_open_rpcs, payload_bytes
 from sorreldock.protocol.loads import parse_load
 from sorreldock.transport.admission import Stage
-from sorreldock.transport.budget import Descriptors, Use
-from sorreldock.transport.ring import Ring
+from sorreldock.transport.budget import DescriptorBudget, Use
+from sorreldock.transport.ring import RingBuffer
 from sorreldock.wire import decode_settings
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=40))))
 def test_a_ring_gives_back_what_was_put_in_order(steps: list[tuple[bool, bytes]]) -> None:
-    ring, expected = Ring(32), b""
+    ring, expected = RingBuffer(32), b""
     for take, data in steps:
         if take:
-            assert ring.take() == expected
+            assert ring.read_all() == expected
             expected = b""
         else:
-            done = ring.put(memoryview(data))
+            done = ring.write(memoryview(data))
             assert done == min(len(data), 32 - len(expected))
             expected += data[:done]
-            span = bytes(ring.held_span())[:3]
+            span = bytes(ring.readable_span())[:3]
             assert expected.startswith(span)
-            ring.shrank(len(span))
+            ring.consume(len(span))
             expected = expected[len(span) :]
-    assert ring.take() == expected
+    assert ring.read_all() == expected
 
 
 @given(st.lists(st.integers(1, 20)))
-def test_farewells_are_found_however_the_bytes_are_cut(cuts: list[int]) -> None:
+def test_goaway_frames_are_found_however_the_bytes_are_split(cuts: list[int]) -> None:
     plain = SettingsFrame(0).serialize() + DataFrame(1, data=b"\x07" * 12).serialize()
-    goodbye = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
-    data, strip = plain + goodbye + plain, Farewells(preface=False)
+    goaway_bytes = GoAwayFrame(0, last_stream_id=5, error_code=2, additional_data=b"bye").serialize()
+    data, strip = plain + goaway_bytes + plain, GoAwayFilter(preface=False)
     rest, found = b"", []
     for cut in [*cuts, len(data)]:
-        got, farewells = strip.strip(data[:cut])
+        got, goaways = strip.strip(data[:cut])
         data = data[cut:]
-        rest, found = rest + got, found + farewells
-    assert (rest, found) == (plain * 2, [Farewell(5, 2)])
+        rest, found = rest + got, found + goaways
+    assert (rest, found) == (plain * 2, [GoAway(5, 2)])
 
 
 @pytest.mark.parametrize(
@@ -87,17 +96,17 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-@story
+@trio_test
 async def test_the_end_of_a_stream_tells_the_module_load_and_kept_tokens() -> None:
-    async def report(call: Call) -> None:
+    async def report(call: ReceivedRequest) -> None:
         await call.start(EVENTS[0])
         usage = b'data: {"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}\n\n'
         tail = usage + b"data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT errors_per_s=1.5, backlog=4\n\n"
         for at in range(0, len(tail), 7):  # cut anywhere
-            await call.more(tail[at : at + 7])
+            await call.send_events(tail[at : at + 7])
         await call.end()
 
-    async with among(Engine(report)) as router:
+    async with running_router(ScriptedServer(report)) as router:
         seen = Recorder(router.program.core._gateway)
         assert (await router.post()).whole
         while not seen.of(AttemptEnded):
@@ -108,9 +117,9 @@
     assert ended.report == (1.5, 4.0)
 
 
-@story
+@trio_test
 async def test_what_the_module_leaves_open_is_answered_by_the_deadline() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         Recorder(router.program.core._gateway, lambda events: [])
         began = trio.current_time()
         # Nothing but the deadline's timer answers; a loaded machine may lag it, a lost timer never ends.
@@ -120,32 +129,32 @@
         assert not router.program.core.open_rpcs
 
 
-@story
+@trio_test
 async def test_two_attempts_are_never_out_at_once_whatever_the_module_says() -> None:
-    async def hang(call: Call) -> None:
-        await call.left()
+    async def hang(call: ReceivedRequest) -> None:
+        await call.wait_closed()
 
-    engines = [Engine(hang), Engine(hang)]
-    async with among(*engines) as router:
+    engines = [ScriptedServer(hang), ScriptedServer(hang)]
+    async with running_router(*engines) as router:
         core = router.program.core
 
         def both(events: Sequence[Event]) -> list[Any]:
             arrived = [e for e in events if isinstance(e, RequestArrived)]
-            return [Send(e.request, replica) for e in arrived for replica in core.subchannels]
+            return [StartAttempt(e.request, replica) for e in arrived for replica in core.subchannels]
 
         seen = Recorder(core._gateway, both)
         await router.post(x_expires_in="200m")
         assert next(e.status for e in seen.of(AttemptEnded)) is Status.NOT_SENT
-    assert sum(len(engine.calls) for engine in engines) == 1
+    assert sum(len(engine.received_requests) for engine in engines) == 1
 
 
-@story
+@trio_test
 async def test_probes_bring_load_and_a_stranger_is_not_probed() -> None:
-    async def load(call: Call) -> None:
+    async def load(call: ReceivedRequest) -> None:
         assert call.head.target == b"/metrics/load"
         await call.answer(200, b"TEXT errors_per_s=0.5, backlog=2")
 
-    async with among(Engine(load), limits={"probes": True}) as router:
+    async with running_router(ScriptedServer(load), limits={"probes": True}) as router:
         core = router.program.core
         seen = Recorder(core._gateway, lambda events: [])
         core._decide([])
@@ -160,40 +169,40 @@
     assert list(ended.values()) == [(Status.OK, (0.5, 2.0))]
 
 
-@story
+@trio_test
 async def test_an_engine_that_talks_nonsense_ends_its_attempt_only() -> None:
-    async def nonsense(call: Call) -> None:
+    async def nonsense(call: ReceivedRequest) -> None:
         await call.wire.stream.send_all(b"\x00\xff nonsense\r\n\r\n")
 
-    engine = Engine()
+    engine = ScriptedServer()
     engine.scripts = [nonsense]
-    async with among(engine, Engine()) as router:
+    async with running_router(engine, ScriptedServer()) as router:
         assert [(await router.post()).status for _ in range(3)] == [200] * 3
 
 
-@story
+@trio_test
 async def test_idle_client_connections_make_room_for_new_ones() -> None:
-    async with among(Engine()) as router:
-        router.program.budget.most[Use.CLIENT] = 3
+    async with running_router(ScriptedServer()) as router:
+        router.program.budget.max_used[Use.CLIENT] = 3
         idle = [await router.connect() for _ in range(6)]
         assert (await router.post()).whole
         for wire in idle:
             await wire.stream.aclose()
 
 
-@story
+@trio_test
 async def test_many_routers_keep_few_idle_connections_each_at_an_engine() -> None:
     """An engine holds only so many connections, and all routers' idle ones count."""
     out, all_out = [], trio.Event()
 
-    async def together(call: Call) -> None:
+    async def together(call: ReceivedRequest) -> None:
         out.append(call)
         if len(out) == 8:
             all_out.set()
         await all_out.wait()
-        await serve_well(call)
+        await answer_in_full(call)
 
-    async with among(Engine(together), balancers=200) as router:
+    async with running_router(ScriptedServer(together), balancers=200) as router:
         async with trio.open_nursery() as nursery:
             for k in range(8):
                 nursery.start_soon(partial(router.post, x_trace_id=f"t{k}"))
@@ -203,36 +212,36 @@
 
 
 def test_the_descriptor_budget_takes_an_idle_connection_before_it_says_no() -> None:
-    budget = Descriptors(100)
-    held = sum(budget.take(Use.ENGINE) for _ in range(100))
+    budget = DescriptorBudget(100)
+    held = sum(budget.acquire(Use.ENGINE) for _ in range(100))
     assert held == 42 and budget.used[Use.CLIENT] == 0
 
     def evict() -> bool:
-        budget.give_back(Use.ENGINE)
+        budget.release(Use.ENGINE)
         return True
 
     robbed: list[int] = []
-    budget.evictors[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
-    assert all(budget.take(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
+    budget.eviction_callbacks[Use.ENGINE] += [lambda n=n: robbed.append(n) or evict() for n in range(1024)]  # type: ignore
+    assert all(budget.acquire(Use.ENGINE) for _ in range(2048)) and budget.used[Use.ENGINE] == 42
     assert robbed == [*range(1024), *range(1024)]
-    budget.share(20)  # another process of this router has the rest
-    budget.let_go()
+    budget.set_portion(20)  # another process of this router has the rest
+    budget.close_excess_idle()
     assert budget.used[Use.ENGINE] == 10
-    budget.share(None)
-    assert budget.most[Use.ENGINE] == 42
+    budget.set_portion(None)
+    assert budget.max_used[Use.ENGINE] == 42
 
 
 def test_the_budgets_follow_the_limits() -> None:
     assert [payload_bytes(mb) >> 20 for mb in (32, 64, 96, 192)] == [2, 11, 24, 40]
-    assert [most_open(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
+    assert [max_open_rpcs(mb) for mb in (16, 32, 96, 192)] == [64, 128, 384, 768]
     for limit in (100, 256, 1024):  # a third of them is for requests alone; some are the program's own
-        most = Descriptors(limit).most
+        most = DescriptorBudget(limit).max_used
         assert limit / 3 < most[Use.CLIENT] and sum(most.values()) <= limit - 16
 
 
-@story
+@trio_test
 async def test_a_connection_at_rest_holds_no_buffers() -> None:
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         wire = await router.start_post()
         while not isinstance(await wire.next(), h11.EndOfMessage):
             pass
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from peers import Call, Engine, among, story
+from peers import ReceivedRequest, ScriptedServer, running_router, trio_test
 from test_bad_days import all_of, raw
 
 from sorreldock.interface import Status
@@ -16,9 +16,9 @@
 from sorreldock.protocol.http.front import ClientConnection
 from sorreldock.routing.permissions import Audit, Denial, Rule, may_begin, may_write, write_until
 from sorreldock.routing.types import Outcome
-from sorreldock.transport.budget import Descriptors, Use
+from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection, LocalShortage, closed_by_peer, dial
-from sorreldock.transport.failures import is_local_shortage, is_passing
+from sorreldock.transport.failures import is_local_shortage, is_transient
 from sorreldock.transport.system import Machine
 
 ALLOWED: dict[str, Any] = {
@@ -73,14 +73,14 @@
     assert all(record[:2] == ("err", "VIOLATION") for record in records)
 
 
-@story
+@trio_test
 async def test_an_error_in_the_front_gets_an_answer_and_violates_at_most_the_rule_on_closing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def fail(self: ClientConnection, request: Any) -> None:
         raise ValueError("error in the front")
 
-    async with among(Engine()) as router:
+    async with running_router(ScriptedServer()) as router:
         with monkeypatch.context() as patch:
             patch.setattr(ClientConnection, "handle_rpc", fail)
             wire = await router.connect()
@@ -91,13 +91,13 @@
         assert set(router.program.core.audit.violations) <= {Rule.CLOSED_OWING}
 
 
-@story
+@trio_test
 async def test_a_broken_stream_or_a_disconnected_client_violates_no_rule() -> None:
-    async def break_off(call: Call) -> None:
+    async def break_off(call: ReceivedRequest) -> None:
         await call.start(b"data: 1\n\n")
         await call.wire.stream.aclose()
 
-    async with among(Engine(break_off)) as router:
+    async with running_router(ScriptedServer(break_off)) as router:
         assert not (await router.post()).whole
         wire = await router.start_post(x_trace_id="left")
         await wire.stream.aclose()
@@ -121,7 +121,7 @@
     }
     local = transient | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
     for number in transient | connection_errors | local:
-        assert is_passing(OSError(number, "")) is (number in transient)
+        assert is_transient(OSError(number, "")) is (number in transient)
         assert is_local_shortage(OSError(number, "")) is (number in local)
 
 
@@ -139,7 +139,7 @@
         return super().socket(family)
 
 
-@story
+@trio_test
 async def test_dialling_is_retried_during_a_local_shortage_and_does_not_count_against_the_server() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -150,8 +150,8 @@
         with pytest.raises(LocalShortage):
             await dial(address, 0.05, lambda: closed.append(True), NoDescriptors(1 << 30))
         assert len(closed) == 2
-        budget = Descriptors(364)
-        while budget.take(Use.ENGINE):
+        budget = DescriptorBudget(364)
+        while budget.acquire(Use.ENGINE):
             pass
         client = HttpServerClient(address, budget, 1.0, 60.0, "/alive")
         assert (await client.probe()).status is Status.NOT_SENT
@@ -170,7 +170,7 @@
         raise OSError(errno.ENOBUFS, "no buffer space")
 
 
-@story
+@trio_test
 async def test_a_failed_check_of_the_client_does_not_count_as_its_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -179,7 +179,7 @@
         router_end = trio.socket.from_stdlib_socket(listener.accept()[0])
     monkeypatch.setattr(type(router_end), "getsockopt", FailingGetsockopt.getsockopt)
     connection = Connection(router_end, lambda: None)
-    assert not closed_by_peer(router_end) and not connection.ended()
+    assert not closed_by_peer(router_end) and not connection.has_peer_closed()
     client_end.close()
-    assert connection.ended()  # detected by reading
+    assert connection.has_peer_closed()  # detected by reading
     connection.close()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import GUARANTEES, START, call, entry, gateway, sends
 
-from sorreldock.hashing import key_of, mix
+from sorreldock.hashing import hash_text, mix
 from sorreldock.interface import ListKind, ReplicaEntry, ReplicaList, ReplicaState
 from sorreldock.policy.draw import STRAWS_UP_TO, longest_straw, sampled_rounds
 from sorreldock.policy.group import ReplicaGroup
@@ -19,7 +19,7 @@
 
 
 def replica(number: int, weight: float = 1.0, started_at: float = 0.0) -> Replica:
-    return Replica(ReplicaEntry(key_of(f"s-{number}"), "a", 0, weight, ReplicaState.READY, started_at))
+    return Replica(ReplicaEntry(hash_text(f"s-{number}"), "a", 0, weight, ReplicaState.READY, started_at))
 
 
 def group(replicas: list[Replica]) -> ReplicaGroup:
@@ -132,7 +132,7 @@
             case 2:
                 member.weight = draw.uniform(0.1, 3.0)
             case 3:
-                member.busy += 1
+                member.open_attempts += 1
             case 4:
                 member.forget()
             case 5 if member in fleet:
@@ -143,7 +143,7 @@
         here = [member for member in members if member in fleet]
         assert fleet.capacity(now) == pytest.approx(added_up(here, now), rel=1e-6, abs=1e-6)
         assert fleet.flagged(now) == sum(member.failed_until > now for member in here)
-        assert fleet.busy == sum(member.busy for member in here)
+        assert fleet.open_attempts == sum(member.open_attempts for member in here)
         assert fleet.mean_weight == pytest.approx(sum(member.weight for member in here) / max(len(here), 1))
 
 
@@ -159,21 +159,21 @@
 
 
 def test_no_request_looks_at_all_of_a_large_fleet() -> None:
-    made: Gateway = gateway([entry(key_of(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
+    made: Gateway = gateway([entry(hash_text(f"s-{n}"), zone="ab"[n % 2]) for n in range(2000)])
     made.handle(START + 1.0, [call("first", prefix="p0", now=START + 1.0)])  # builds the tables
-    for members in (made.zone, made.abroad, made.everywhere):
+    for members in (made.local_zone, made.other_zones, made.all_zones):
         members._members = Counted(members._members)
     Counted.looks = 0
     for number in range(50):
         now = START + 2.0 + number
         made.handle(now, [call(f"r{number}", prefix=f"p{number % 3}", now=now)])
-        one = ReplicaEntry(key_of(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
+        one = ReplicaEntry(hash_text(f"s-{number}"), "a", 0, 1.0, ReplicaState.DRAINING, 0.0)
         made.handle(now, [ReplicaList(ListKind.DELTA, (one,), number)])
     assert Counted.looks == 0
 
 
 def test_a_fleet_of_thousands_that_is_all_cold_is_still_decided_on() -> None:
-    fresh = [entry(key_of(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
+    fresh = [entry(hash_text(f"s-{n}"), started_at=START - 1.0) for n in range(2000)]
     made = gateway(fresh)
     actions = [made.handle(START + n * 0.01, [call(f"r{n}", now=START)]) for n in range(60)]
     assert any(sends(action) for action in actions)
