--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -24,20 +24,20 @@
     """A faulty server repeats its answer after the connection has become idle."""
     send_duplicate, server = trio.Event(), ScriptedServer()
 
-    async def answer_twice(call: ReceivedRequest) -> None:
-        await answer_in_full(call)
+    async def answer_twice(request: ReceivedRequest) -> None:
+        await answer_in_full(request)
         await send_duplicate.wait()
-        await call.wire.stream.send_all(
+        await request.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
         )
 
     server.scripts.append(answer_twice)
     async with running_router(server) as router:
         assert (await router.post(x_trace_id="t0")).whole
-        got = await router.post(
+        answer = await router.post(
             x_trace_id="t1"
         )  # at once: the first connection has not been idle long enough
-        assert got.body == b"".join(EVENTS) and server.connections == 2
+        assert answer.body == b"".join(EVENTS) and server.connections == 2
         send_duplicate.set()
         for n in range(2, 6):
             assert (await router.post(x_trace_id=f"t{n}")).body == b"".join(EVENTS)
@@ -85,16 +85,16 @@
 
     monkeypatch.setattr(program_serve, "dialler", slow_dialler)
 
-    async def fail(call: ReceivedRequest) -> None:
-        await call.answer(500)
+    async def fail(request: ReceivedRequest) -> None:
+        await request.answer(500)
 
     first, second = ScriptedServer(fail), ScriptedServer(fail)
     discovery_address = ""
     async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
         dialled_at.clear()
-        got = await router.post()
-    assert got.status in (502, 503, 504) and len(dialled_at) == 2
+        answer = await router.post()
+    assert answer.status in (502, 503, 504) and len(dialled_at) == 2
     assert len(first.received_requests) + len(second.received_requests) == 1
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -60,12 +60,12 @@
 
 async def burst(router: Router, count: int, time_left: bytes) -> list[HttpConnection]:
     """Send `count` requests at once, so that all arrive before the first one is decided on."""
-    wires = [await router.connect() for _ in range(count)]
+    connections = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
-    for number, wire in enumerate(wires):
+    for number, connection in enumerate(connections):
         data = raw(x_trace_id=b"t%d" % number, x_expires_in=time_left)
-        assert os.write(wire.stream.socket.fileno(), data) == len(data)  # type: ignore[attr-defined]
-    return wires
+        assert os.write(connection.stream.socket.fileno(), data) == len(data)  # type: ignore[attr-defined]
+    return connections
 
 
 @trio_test
@@ -76,17 +76,17 @@
     async with running_router(server) as router:
         received = slow_decisions(router.program.core)
 
-        wires = await burst(router, 60, b"1000m")
+        connections = await burst(router, 60, b"1000m")
         began = trio.current_time()
 
-        async def read_answer(wire: Any) -> None:
-            statuses.append((await wire.next()).status_code)
+        async def read_answer(connection: Any) -> None:
+            statuses.append((await connection.next()).status_code)
             durations_s.append(trio.current_time() - began)
-            await wire.stream.aclose()
+            await connection.stream.aclose()
 
         async with trio.open_nursery() as nursery:
-            for wire in wires:
-                nursery.start_soon(read_answer, wire)
+            for connection in connections:
+                nursery.start_soon(read_answer, connection)
     assert len(durations_s) == 60 and set(statuses) == {200, 503}
     assert max(durations_s) < 1.0  # deciding on all of them would take 1.2 s
     assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in received)
@@ -103,15 +103,15 @@
         await discovery.watching.wait()
         core = router.program.core
         received = slow_decisions(core)
-        wires = await burst(router, 30, b"5000m")
+        connections = await burst(router, 30, b"5000m")
         while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
         discovery.push_states(e0="Terminating")
         last = core._mailbox._requests[-1].request
-        await wires.pop(int(last[1:].partition(".")[0])).stream.aclose()
-        for wire in wires:
-            assert (await wire.next()).status_code == 200
-            await wire.stream.aclose()
+        await connections.pop(int(last[1:].partition(".")[0])).stream.aclose()
+        for connection in connections:
+            assert (await connection.next()).status_code == 200
+            await connection.stream.aclose()
     requests = [n for n, event in enumerate(received) if isinstance(event, RequestArrived)]
     change = next(n for n, event in enumerate(received) if isinstance(event, ReplicaList))
     assert change < requests[-5]
@@ -122,14 +122,14 @@
 async def test_an_attempt_decided_in_the_same_batch_as_its_clients_disconnect_is_reported_as_ended() -> None:
     release = trio.Event()
 
-    async def fail(call: ReceivedRequest) -> None:
+    async def fail(request: ReceivedRequest) -> None:
         await release.wait()
-        await call.answer(500)
+        await request.answer(500)
 
     first, second = ScriptedServer(fail), ScriptedServer(fail)
     async with running_router(first, second) as router:
         core = router.program.core
-        wire = await router.start_post()
+        connection = await router.start_post()
         while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
             await trio.sleep(0.001)
         [subchannel] = [s for s in core.subchannels.values() if s.in_flight]
@@ -145,7 +145,7 @@
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
         assert core._gateway.all_zones.open_attempts == 0 and not core._gateway.requests
-        await wire.stream.aclose()
+        await connection.stream.aclose()
     assert len(first.received_requests) + len(second.received_requests) == 1
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -42,44 +42,44 @@
 )
 
 
-async def refuse(call: ReceivedRequest) -> None:
-    await call.answer(503, x_never_ran="1", endpoint_load_metrics="TEXT eps=0.0, queue=9")
+async def refuse(request: ReceivedRequest) -> None:
+    await request.answer(503, x_never_ran="1", endpoint_load_metrics="TEXT eps=0.0, queue=9")
 
 
-async def fail(call: ReceivedRequest) -> None:
-    await call.answer(500)
+async def fail(request: ReceivedRequest) -> None:
+    await request.answer(500)
 
 
-async def hang(call: ReceivedRequest) -> None:
-    await call.wait_closed()
+async def hang(request: ReceivedRequest) -> None:
+    await request.wait_closed()
 
 
-async def begin_and_reset(call: ReceivedRequest) -> None:
-    await call.start(EVENTS[0])
+async def begin_and_reset(request: ReceivedRequest) -> None:
+    await request.start(EVENTS[0])
 
 
 @trio_test
 async def test_requests_and_answers_are_forwarded_unchanged() -> None:
     server = ScriptedServer()
     async with running_router(server) as router:
-        got = await router.post(b'{"model":"chat"}')
-    assert (got.status, got.body, got.whole) == (200, b"".join(EVENTS), True)
-    [call] = server.received_requests
-    assert (call.head.method, call.head.target, call.body) == (
+        answer = await router.post(b'{"model":"chat"}')
+    assert (answer.status, answer.body, answer.whole) == (200, b"".join(EVENTS), True)
+    [request] = server.received_requests
+    assert (request.head.method, request.head.target, request.body) == (
         b"POST",
         b"/v1/chat/completions?x=1",
         b'{"model":"chat"}',
     )
-    assert call.headers["x-trace-id"] == FIELDS["x_trace_id"]
-    assert 1e6 < int(call.headers["x-expires-in"].removesuffix("u")) < 2e6
+    assert request.headers["x-trace-id"] == FIELDS["x_trace_id"]
+    assert 1e6 < int(request.headers["x-expires-in"].removesuffix("u")) < 2e6
 
 
 @trio_test
 async def test_unknown_fields_are_forwarded_but_hop_by_hop_fields_are_not() -> None:
     server = ScriptedServer()
     async with running_router(server) as router:
-        wire = await router.connect()
-        await wire.stream.send_all(
+        connection = await router.connect()
+        await connection.stream.send_all(
             raw(
                 b"Idempotency-Key: k1",
                 b"X-Note: a",
@@ -89,11 +89,11 @@
                 b"TE: trailers",
             )
         )
-        assert (await wire.next()).status_code == 200
-    [call] = server.received_requests
-    names = [name for name, _ in call.head.headers]
-    assert call.headers["idempotency-key"] == "k1"
-    assert [value for name, value in call.head.headers if name == b"x-note"] == [b"a", b"b"]
+        assert (await connection.next()).status_code == 200
+    [request] = server.received_requests
+    names = [name for name, _ in request.head.headers]
+    assert request.headers["idempotency-key"] == "k1"
+    assert [value for name, value in request.head.headers if name == b"x-note"] == [b"a", b"b"]
     assert not {b"x-hop", b"te", b"connection", b"x-qos"} & set(names)
     assert names.count(b"host") == names.count(b"content-length") == names.count(b"x-trace-id") == 1
 
@@ -102,18 +102,18 @@
 async def test_events_are_forwarded_as_they_arrive() -> None:
     more = trio.Event()
 
-    async def slowly(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
+    async def slowly(request: ReceivedRequest) -> None:
+        await request.start(EVENTS[0])
         await more.wait()
-        await call.send_events(EVENTS[1])
-        await call.end()
+        await request.send_events(EVENTS[1])
+        await request.end()
 
     async with running_router(ScriptedServer(slowly)) as router:
-        wire = await router.start_post()
-        assert (await wire.next()).status_code == 200
-        assert (await wire.next()).data == EVENTS[0]
+        connection = await router.start_post()
+        assert (await connection.next()).status_code == 200
+        assert (await connection.next()).data == EVENTS[0]
         more.set()
-        assert (await wire.next()).data == EVENTS[1]
+        assert (await connection.next()).data == EVENTS[1]
 
 
 @pytest.mark.parametrize("script, never_ran", [(refuse, True), (fail, False), (begin_and_reset, False)])
@@ -124,12 +124,12 @@
     first, second = ScriptedServer(), ScriptedServer()
     first.scripts, second.scripts = [script], [script]  # type: ignore[list-item]
     async with running_router(first, second) as router:
-        got = await router.post()
+        answer = await router.post()
     if script is begin_and_reset:  # the answer has begun: no further attempt, and no last chunk
-        assert (got.status, got.body, got.whole) == (200, EVENTS[0], False)
+        assert (answer.status, answer.body, answer.whole) == (200, EVENTS[0], False)
         assert len(first.received_requests) + len(second.received_requests) == 1
     else:
-        assert got.status == 503 and len(first.received_requests) == len(second.received_requests) == 1
+        assert answer.status == 503 and len(first.received_requests) == len(second.received_requests) == 1
         assert max(first.max_open_requests, second.max_open_requests) == 1
 
 
@@ -137,40 +137,40 @@
 async def test_an_rpc_that_the_decision_module_refuses_is_answered_at_once() -> None:
     async with running_router(ScriptedServer(refuse)) as router:
         began = trio.current_time()
-        got = await router.post(x_expires_in="4000m")
-        assert got.status == 503 and trio.current_time() - began < 1.0
-        assert 0.0 < float(got.headers["retry-after"]) <= 2.0
+        answer = await router.post(x_expires_in="4000m")
+        assert answer.status == 503 and trio.current_time() - began < 1.0
+        assert 0.0 < float(answer.headers["retry-after"]) <= 2.0
 
 
 @trio_test
 async def test_the_deadline_applies_until_the_first_event_only() -> None:
-    async def late(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
+    async def late(request: ReceivedRequest) -> None:
+        await request.start(EVENTS[0])
         await trio.sleep(0.3)  # longer than the deadline, which no longer applies
-        await call.send_events(*EVENTS[1:])
-        await call.end()
+        await request.send_events(*EVENTS[1:])
+        await request.end()
 
     async with running_router(ScriptedServer(late)) as router:
         assert (await router.post(x_expires_in="200m")).whole
     async with running_router(ScriptedServer(hang)) as router:
         began = trio.current_time()
-        got = await router.post(x_expires_in="300m")
-        assert got.status in (503, 504) and trio.current_time() - began < 0.3
+        answer = await router.post(x_expires_in="300m")
+        assert answer.status in (503, 504) and trio.current_time() - began < 0.3
 
 
 @trio_test
 async def test_a_disconnecting_client_cancels_its_attempt() -> None:
     left = trio.Event()
 
-    async def until_left(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
-        await call.wait_closed()
+    async def until_left(request: ReceivedRequest) -> None:
+        await request.start(EVENTS[0])
+        await request.wait_closed()
         left.set()
 
     async with running_router(ScriptedServer(until_left)) as router:
-        wire = await router.start_post()
-        await wire.next()
-        await wire.stream.aclose()
+        connection = await router.start_post()
+        await connection.next()
+        await connection.stream.aclose()
         await left.wait()
 
 
@@ -180,24 +180,24 @@
 ) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.1)
 
-    async def silent(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
-        await call.wait_closed()
+    async def silent(request: ReceivedRequest) -> None:
+        await request.start(EVENTS[0])
+        await request.wait_closed()
 
     async with running_router(ScriptedServer(silent)) as router:
-        got = await router.post()
-    assert (got.body, got.whole) == (EVENTS[0], False)
+        answer = await router.post()
+    assert (answer.body, answer.whole) == (EVENTS[0], False)
 
 
 @trio_test
 async def test_a_client_connection_is_kept_alive_between_requests() -> None:
     async with running_router(ScriptedServer()) as router:
-        wire = await router.connect()
+        connection = await router.connect()
         for trace in (b"t1", b"t2", b"t3"):
-            await wire.stream.send_all(ONE % trace)
+            await connection.stream.send_all(ONE % trace)
             data = b""
             while not data.endswith(b"\r\n0\r\n\r\n"):
-                more = await wire.stream.receive_some(4096)
+                more = await connection.stream.receive_some(4096)
                 assert more
                 data += more
 
@@ -300,17 +300,17 @@
 async def test_a_disconnect_behind_pipelined_requests_is_detected_and_stops_the_attempts() -> None:
     disconnected, received = trio.Event(), trio.Event()
 
-    async def hold(call: ReceivedRequest) -> None:
+    async def hold(request: ReceivedRequest) -> None:
         received.set()
-        await call.wait_closed()
+        await request.wait_closed()
         disconnected.set()
 
     server = ScriptedServer(hold)
     async with running_router(server) as router:
-        wire = await router.start_post()
+        connection = await router.start_post()
         await received.wait()
-        await wire.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 60_000) * 3)
-        await wire.stream.aclose()  # a close behind more bytes than a connection's buffer holds
+        await connection.stream.send_all(raw(x_trace_id=b"ahead", body=b"x" * 60_000) * 3)
+        await connection.stream.aclose()  # a close behind more bytes than a connection's buffer holds
         with trio.fail_after(1.0):
             await disconnected.wait()
     assert len(server.received_requests) == 1 and router.program.payloads.used == 0
@@ -321,15 +321,15 @@
     finish_first, server = trio.Event(), ScriptedServer()
     server.scripts.append(stream_until(finish_first))
     async with running_router(server) as router:
-        wire = await router.connect()
+        connection = await router.connect()
         requests = [raw(x_trace_id=b"%d" % n, x_expires_in=b"900m", body=b"x" * 9000) for n in range(4)]
-        await wire.stream.send_all(b"".join(requests))
+        await connection.stream.send_all(b"".join(requests))
         await trio.testing.wait_all_tasks_blocked(0.3)  # the other requests wait meanwhile
         finish_first.set()
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 4:
-            data += await wire.stream.receive_some(65536)
-    timeouts_s = [int(call.headers["x-expires-in"][:-1]) / 1e6 for call in server.received_requests]
+            data += await connection.stream.receive_some(65536)
+    timeouts_s = [int(request.headers["x-expires-in"][:-1]) / 1e6 for request in server.received_requests]
     assert (
         timeouts_s[0] > 0.8
         and all(wait < 0.65 for wait in timeouts_s[1:])
@@ -342,23 +342,23 @@
     finish, server = trio.Event(), ScriptedServer()
     server.scripts.append(stream_until(finish))
     async with running_router(server) as router:
-        wire = await router.connect()
-        await wire.stream.send_all(raw(x_trace_id=b"taken"))
-        data = await wire.stream.receive_some(65536)  # a head without `Connection: close`
-        await wire.stream.send_all(raw(x_trace_id=b"ahead"))
+        connection = await router.connect()
+        await connection.stream.send_all(raw(x_trace_id=b"taken"))
+        data = await connection.stream.receive_some(65536)  # a head without `Connection: close`
+        await connection.stream.send_all(raw(x_trace_id=b"ahead"))
         for front in router.program.fronts.values():
             await front.linger()
             await front.drain()
         finish.set()
-        while more := await wire.stream.receive_some(65536):
+        while more := await connection.stream.receive_some(65536):
             data += more
             if data.endswith(b"\r\n0\r\n\r\n"):
                 with suppress(trio.BrokenResourceError):
-                    await wire.stream.send_all(
+                    await connection.stream.send_all(
                         raw(x_trace_id=b"late")
                     )  # sent while the router closes the connection
     assert data.count(b"\r\n0\r\n\r\n") == 2 and data.count(b"connection: close") == 1
-    assert [call.headers["x-trace-id"] for call in server.received_requests] == ["taken", "ahead"]
+    assert [request.headers["x-trace-id"] for request in server.received_requests] == ["taken", "ahead"]
 
 
 @trio_test
@@ -377,8 +377,8 @@
 async def test_large_requests_beyond_the_payload_budget_are_refused() -> None:
     async with running_router(ScriptedServer()) as router:
         router.program.payloads.max_used = 1000
-        got = await router.post(b"x" * 2000)
-        assert (got.status, got.headers["retry-after"]) == (503, "1")
+        answer = await router.post(b"x" * 2000)
+        assert (answer.status, answer.headers["retry-after"]) == (503, "1")
         for _ in range(3):  # answered requests are no longer counted
             assert (await router.post(b"x" * 900)).whole
         assert router.program.payloads.used == 0
@@ -393,12 +393,12 @@
         gc.collect()
         tracemalloc.start()
         try:
-            wires = []
+            connections = []
             for number in range(count):
-                wire = await router.connect()
-                await wire.stream.send_all(raw(x_trace_id=b"%d" % number, body=body))
-                assert (await wire.next()).status_code == 200
-                wires.append(wire)
+                connection = await router.connect()
+                await connection.stream.send_all(raw(x_trace_id=b"%d" % number, body=body))
+                assert (await connection.next()).status_code == 200
+                connections.append(connection)
             allocated = tracemalloc.get_traced_memory()[0]
         finally:
             tracemalloc.stop()
@@ -406,8 +406,8 @@
         assert len(server.received_requests) == count and router.program.payloads.used == 0
         # The scripted server keeps each body once; a router that kept them would allocate as much again.
         assert allocated < 1.5 * count * len(body)
-        for wire in wires:
-            await wire.stream.aclose()
+        for connection in connections:
+            await connection.stream.aclose()
 
 
 @trio_test
@@ -492,9 +492,9 @@
         assert (rejected.status, rejected.headers["allow"]) == (405, "POST")
         assert (await router.post(b"x" * (256 * 1024 + 1))).status == 413
         assert (await router.post(b"x" * (256 * 1024))).status == 200
-        wire = await router.connect()
-        await wire.stream.send_all(b"GARBAGE\r\n\r\n")
-        assert b" 400 " in await wire.stream.receive_some(100)
+        connection = await router.connect()
+        await connection.stream.send_all(b"GARBAGE\r\n\r\n")
+        assert b" 400 " in await connection.stream.receive_some(100)
 
 
 @trio_test
@@ -503,14 +503,14 @@
 ) -> None:
     monkeypatch.setattr(limits, "HEAD_TIMEOUT_S", 0.05)
     async with running_router(ScriptedServer()) as router:
-        wire = await router.connect()
-        await wire.stream.send_all(b"POST /v1/chat")
-        assert b" 408 " in await wire.stream.receive_some(100)
-        wire = await router.connect()
-        await wire.stream.send_all(
+        connection = await router.connect()
+        await connection.stream.send_all(b"POST /v1/chat")
+        assert b" 408 " in await connection.stream.receive_some(100)
+        connection = await router.connect()
+        await connection.stream.send_all(
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab"
         )
-        await wire.stream.aclose()
+        await connection.stream.aclose()
         assert (await router.post()).whole
 
 
@@ -519,23 +519,23 @@
     sent = 0
     chunk = b"data: " + b"x" * 60000 + b"\n\n"
 
-    async def flood(call: ReceivedRequest) -> None:
+    async def flood(request: ReceivedRequest) -> None:
         nonlocal sent
-        await call.start()
+        await request.start()
         for _ in range(400):
-            await call.send_events(chunk)
+            await request.send_events(chunk)
             sent += 1
-        await call.end()
+        await request.end()
 
     async with running_router(ScriptedServer(flood)) as router:
-        wire = await router.start_post()
-        await wire.next()
+        connection = await router.start_post()
+        await connection.next()
         await trio.testing.wait_all_tasks_blocked(0.1)  # until no more bytes are transferred
         assert 0 < sent < 400
-        got = bytearray()
-        while hasattr(event := await wire.next(), "data"):
-            got += event.data
-        assert got == chunk * 400
+        body = bytearray()
+        while hasattr(event := await connection.next(), "data"):
+            body += event.data
+        assert body == chunk * 400
 
 
 @trio_test
@@ -544,8 +544,8 @@
     slowly = stream_until(finish)
     async with running_router(ScriptedServer(slowly)) as router:
         idle = await router.connect()
-        wire = await router.start_post()
-        await wire.next()
+        connection = await router.start_post()
+        await connection.next()
         program = router.program
         program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
@@ -558,7 +558,7 @@
             await trio.sleep(0.005)
         assert await idle.stream.receive_some(1) == b""
         finish.set()
-        for taken in (wire, late):
+        for taken in (connection, late):
             body = b""
             while hasattr(event := await taken.next(), "data") or hasattr(event, "status_code"):
                 body += getattr(event, "data", b"")
@@ -569,9 +569,9 @@
 async def test_pipelined_requests_are_answered_in_order() -> None:
     server = ScriptedServer()
     async with running_router(server) as router:
-        wire = await router.connect()
-        await wire.stream.send_all(ONE % b"t1" + ONE % b"t2")
+        connection = await router.connect()
+        await connection.stream.send_all(ONE % b"t1" + ONE % b"t2")
         data = b""
         while data.count(b"\r\n0\r\n\r\n") < 2:
-            data += await wire.stream.receive_some(4096)
+            data += await connection.stream.receive_some(4096)
     assert [c.headers["x-trace-id"] for c in server.received_requests] == ["t1", "t2"]
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -83,24 +83,24 @@
     async with running_router(ScriptedServer()) as router:
         with monkeypatch.context() as patch:
             patch.setattr(ClientConnection, "handle_rpc", fail)
-            wire = await router.connect()
-            await wire.stream.send_all(raw())
-            assert (await all_of(wire.stream)).startswith(b"HTTP/1.1 500")
-            await wire.stream.aclose()
+            connection = await router.connect()
+            await connection.stream.send_all(raw())
+            assert (await all_of(connection.stream)).startswith(b"HTTP/1.1 500")
+            await connection.stream.aclose()
         assert (await router.post(x_trace_id="next")).status == 200
         assert set(router.program.core.audit.violations) <= {Rule.CLOSED_OWING}
 
 
 @trio_test
 async def test_a_broken_stream_or_a_disconnected_client_violates_no_rule() -> None:
-    async def break_off(call: ReceivedRequest) -> None:
-        await call.start(b"data: 1\n\n")
-        await call.wire.stream.aclose()
+    async def break_off(request: ReceivedRequest) -> None:
+        await request.start(b"data: 1\n\n")
+        await request.wire.stream.aclose()
 
     async with running_router(ScriptedServer(break_off)) as router:
         assert not (await router.post()).whole
-        wire = await router.start_post(x_trace_id="left")
-        await wire.stream.aclose()
+        connection = await router.start_post(x_trace_id="left")
+        await connection.stream.aclose()
         while router.program.fronts["http"].clients:
             await trio.sleep(0.005)
         assert not router.program.core.audit.violations
