--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -129,7 +129,7 @@
         return trio.current_time() >= self.refuse_requests_from
 
     def evict_clients(self) -> bool:
-        """Close at least one client connection in favour of a new one, and return whether one was closed."""
+        """Close client connections to make room for a new one, and return whether any was closed."""
         evicted = [
             c for c in self.queue.select_evictions(trio.current_time(), MAX_EVICTED_AT_ONCE) if not c.readable
         ]
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -190,6 +190,7 @@
             client.trim()
 
     async def run(self) -> None:
+        """Process orders until the subchannel is retired, then close its idle connections."""
         try:
             await self._process_orders()
         finally:  # retired, or the program ends: close all idle connections
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -161,7 +161,7 @@
     def chunk(data: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(data), data)
 
-    async def story(network: Network) -> None:
+    async def run_resolver(network: Network) -> None:
         here, there = network.host("r0", "127.0.0.1"), network.host("d", "127.0.0.2")
         resolver = Resolver(
             "127.0.0.2:80",
@@ -199,7 +199,7 @@
 
     with seeded(1):
         network = Network(random.Random(1), Weather(), lambda line: None)
-        trio.run(story, network, clock=world_clock(network.next_at, network.advance))
+        trio.run(run_resolver, network, clock=world_clock(network.next_at, network.advance))
     lists = [at for at, result in received if result.version]
     assert len(lists) == 1 and 18.0 < lists[0] < 18.0 + MAX_AGE_S  # and that watch stays open
 
