--- a/sorreldock/interface.py
+++ b/sorreldock/interface.py
@@ -385,3 +385,10 @@
     | SendPeerMessage
     | Subscribe
 )
+
+# Former names of the actions, kept for existing imports.
+Send = StartAttempt
+Cancel = CancelAttempt
+Refuse = RefuseRequest
+Fail = FailRequest
+TellPeers = SendPeerMessage
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sorreldock import wire
+from sorreldock import interface, wire
 from sorreldock.interface import (
     CancelAttempt,
     FailRequest,
@@ -151,6 +151,20 @@
     assert wire.encode_action("g", action) == line
 
 
+@pytest.mark.parametrize(
+    ("former", "action"),
+    [
+        ("Send", StartAttempt),
+        ("Cancel", CancelAttempt),
+        ("Refuse", RefuseRequest),
+        ("Fail", FailRequest),
+        ("TellPeers", SendPeerMessage),
+    ],
+)
+def test_the_former_name_of_an_action_is_the_renamed_class(former: str, action: type) -> None:
+    assert getattr(interface, former) is action
+
+
 def adapter(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "sorreldock.wirehost"],
