--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,8 +14,11 @@
 
 
 @pytest.fixture(autouse=True)
-def no_signal_handler_is_left_behind() -> Iterator[None]:
-    """Guards the tests that follow: a handler of a loop that has ended fails whichever a signal meets."""
-    before = [signal.getsignal(number) for number in SIGNALS]
+def check_signal_handlers_restored() -> Iterator[None]:
+    """Check that a test restores the signal handlers.
+
+    A signal during a later test would call a remaining handler, whose event loop has ended, and fail it.
+    """
+    handlers = [signal.getsignal(number) for number in SIGNALS]
     yield
-    assert [signal.getsignal(number) for number in SIGNALS] == before
+    assert [signal.getsignal(number) for number in SIGNALS] == handlers
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Modules go by layer: which may import which."""
+"""Tests of the layers: which packages a package may import, and what the router's start loads."""
 
 from __future__ import annotations
 
@@ -14,51 +14,52 @@
     "routing": {"routing"},
     "transport": {"transport"},
     "protocol": {"protocol", "transport", "routing.types", "kserve"},
-    "program": {"program", "protocol", "transport", "routing", "client", "lab"},  # the last two when they run
+    # Of these, `client` and `lab` only within the commands that need them.
+    "program": {"program", "protocol", "transport", "routing", "client", "lab"},
     "client": {"client", "kserve"},
-    # The lab stands outside the router, and plays all of it.
+    # The lab is not a part of the router; it runs all of it.
     "lab": {"lab", "client", "kserve", "program", "protocol", "transport", "routing"},
     "kserve": {"kserve"},
     "policy": {"policy"},
 }
-INHERITED = {"interface", "rules", "wire"}  # of these `rules` alone imports the policy
-ARITHMETIC = {"hashing"}  # pure functions, which any layer and the decision module may use
+SHARED = {"interface", "rules", "wire"}  # any layer may import them; of these only `rules` imports `policy`
+PURE = {"hashing"}  # pure functions, which any layer and the decision module may use
 
 
-def imports(path: Path) -> set[str]:
-    """The package's own modules that a file imports, by their names below `sorreldock`."""
+def imported_modules(path: Path) -> set[str]:
+    """Return the package's own modules that a file imports, by their names below `sorreldock`."""
     package = path.relative_to(ROOT).parts[:-1]
-    found: set[str] = set()
+    modules: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
             base = package[: len(package) - node.level + 1]
-            found.add(".".join([*base, *filter(None, [node.module])]))
+            modules.add(".".join([*base, *filter(None, [node.module])]))
         elif isinstance(node, ast.ImportFrom) and (node.module or "").startswith("sorreldock."):
-            found.add((node.module or "").removeprefix("sorreldock."))
-    return found - {""}
+            modules.add((node.module or "").removeprefix("sorreldock."))
+    return modules - {""}
 
 
 @pytest.mark.parametrize("layer", ALLOWED)
-def test_a_layer_imports_only_what_it_may(layer: str) -> None:
+def test_a_layer_imports_only_allowed_modules(layer: str) -> None:
     files = list((ROOT / layer).rglob("*.py"))
     assert files
     for path in files:
-        for name in imports(path):
-            inside = any(name == a or name.startswith(f"{a}.") for a in ALLOWED[layer])
-            assert inside or name in INHERITED | ARITHMETIC, f"{path.name} imports {name}"
+        for name in imported_modules(path):
+            is_allowed = any(name == a or name.startswith(f"{a}.") for a in ALLOWED[layer])
+            assert is_allowed or name in SHARED | PURE, f"{path.name} imports {name}"
 
 
-@pytest.mark.parametrize("name", sorted(ARITHMETIC))
-def test_arithmetic_imports_nothing_of_the_package(name: str) -> None:
-    assert not imports(ROOT / f"{name}.py")
+@pytest.mark.parametrize("name", sorted(PURE))
+def test_a_pure_module_imports_nothing_of_the_package(name: str) -> None:
+    assert not imported_modules(ROOT / f"{name}.py")
 
 
-def test_the_platform_path_loads_no_command_line_no_grpc_no_client_and_no_lab() -> None:
+def test_the_platform_start_loads_no_command_line_grpc_client_or_lab_modules() -> None:
     code = (
         "import sys, sorreldock.program.serve, sorreldock.program.start\n"
-        "others = {'typer', 'rich', 'tomllib', 'h2', 'hpack', 'google', 'grpc', 'anyio', 'hdrh', 'msgspec',"
+        "banned = {'typer', 'rich', 'tomllib', 'h2', 'hpack', 'google', 'grpc', 'anyio', 'hdrh', 'msgspec',"
         " 'numpy', 'matplotlib'}\n"
-        "assert not [m for m in sys.modules if m.split('.')[0] in others or 'kserve' in m"
+        "assert not [m for m in sys.modules if m.split('.')[0] in banned or 'kserve' in m"
         " or m.startswith(('sorreldock.client', 'sorreldock.lab', 'sorreldock.program.console',"
         " 'sorreldock.program.takeover'))]"
     )
