--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -150,14 +150,14 @@
 
 
 def _ends_whole() -> list[Patch]:
-    conclude = ClientConnection.conclude
+    conclude = ClientConnection.write_final_answer
 
     async def whole(self: ClientConnection) -> None:
         if self.final is not None and self.final.outcome is Outcome.BROKEN:
             self.final = replace(self.final, outcome=Outcome.SERVED)
         await conclude(self)
 
-    return [(ClientConnection, "conclude", whole)]
+    return [(ClientConnection, "write_final_answer", whole)]
 
 
 def _names_leak() -> list[Patch]:
--- a/sorreldock/policy/request.py
+++ b/sorreldock/policy/request.py
@@ -37,9 +37,8 @@
         self.session_key = hash_text(event.session or event.request)
         self.prefix_key = hash_text(event.shared_prefix) if event.shared_prefix else self.session_key
         self.home_count = home_count
-        self.traffic_share = (
-            traffic_share  # its prefix's share of the requests that this gateway has received
-        )
+        # Its prefix's share of the requests that this gateway has received.
+        self.traffic_share = traffic_share
         self.attempts: list[Attempt] = []
         self.awaited_replica: Replica | None = None  # the request is held until the probe of this one ends
         self.probed_replicas: list[Replica] = []
--- a/sorreldock/program/calls.py
+++ b/sorreldock/program/calls.py
@@ -61,7 +61,7 @@
     async def _close_connections(self, scope: trio.CancelScope) -> None:
         with scope:
             for front in self._fronts.values():
-                await front.linger()
+                await front.announce_close()
             await trio.sleep(FRONT_LAG_S)
             for front in self._fronts.values():
                 await front.drain()
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -182,7 +182,7 @@
                 self.listeners["http"].close()
             has_successor = self.takeover is not None and self.takeover.leave(self.fronts["http"])
             for front in self.fronts.values():
-                await front.linger()
+                await front.announce_close()
             if not has_successor:
                 await trio.sleep(self.linger_s)
             for listener in self.listeners.values():
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -18,14 +18,13 @@
 MAX_BODY_BYTES = 256 * 1024  # of a request body or a message
 # Time limits for clients. A truncated request is recognized by the silence after it: a slow link delivers
 # late but keeps delivering, so a body that still arrives gets a long time.
-HEAD_TIMEOUT_S = (
-    2.5  # from accepting the connection, or the first byte of a later request, to the end of its head
-)
+# From accepting the connection, or the first byte of a later request, to the end of the request's head.
+HEAD_TIMEOUT_S = 2.5
 STALL_TIMEOUT_S = 2.0  # without a received byte, within a request
 BODY_TIMEOUT_S = 30.0
 WRITE_TIMEOUT_S = 15.0  # a client that reads nothing for this long counts as disconnected
-HANG_UP_TIMEOUT_S = 5.0  # for reading on before a close; long enough for 60 MB in transit
-HANG_UP_QUIET_S = 1.0  # without a byte, after which no more are expected
+LINGERING_CLOSE_TIMEOUT_S = 5.0  # for discarding what a client still sends; enough for 60 MB in transit
+LINGERING_CLOSE_QUIET_S = 1.0  # after this time without a byte no more are expected
 DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte or call of a new client while draining
 CLOSE_POLL_S = 0.01
 MAX_EVICTED_AT_ONCE = 8  # connections closed in one step, if their time limits have passed
@@ -92,8 +91,8 @@
         """Return the actor for a new connection."""
 
     @abstractmethod
-    async def linger(self) -> None:
-        """Start to stop: accept further requests, but tell clients to use another router."""
+    async def announce_close(self) -> None:
+        """Announce to clients that their connections will close, but accept further requests."""
 
     @abstractmethod
     async def drain(self) -> None:
@@ -101,7 +100,7 @@
 
     @abstractmethod
     def resume(self) -> None:
-        """Return to the state before `linger`, after an operator has cancelled a drain."""
+        """Return to the state before `announce_close`, after an operator has cancelled a drain."""
 
     async def handle_passed_connection(self, connection: Connection) -> None:
         """Serve a connection that a predecessor process has passed on."""
@@ -118,7 +117,7 @@
         except Exception as error:  # no behaviour of a peer may end the program
             self.log("err", "FRONT", "unexpected error on a client connection", error=repr(error))
             if client.owes_answer:
-                self.core.closed_without_answer("", repr(error))
+                self.core.record_unanswered_close("", repr(error))
         finally:
             del self.clients[client]
             self.queue.remove(client)
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -182,7 +182,7 @@
             )
             broken = self.final is not None and self.final.outcome is Outcome.BROKEN
             if not broken and not isinstance(error, ClientStalled) and not self.has_client_left():
-                self.front.core.closed_without_answer(self.rpc_key, str(error))
+                self.front.core.record_unanswered_close(self.rpc_key, str(error))
 
     async def close_gracefully(self) -> None:
         """Close the connection gracefully, so that the client can read what was just written.
@@ -194,7 +194,9 @@
             self.is_closing = True
             with trio.CancelScope() as self.waiting:
                 self.set_stage(Stage.IDLE)
-                await self.connection.lingering_close(limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S)
+                await self.connection.lingering_close(
+                    limits.LINGERING_CLOSE_TIMEOUT_S, limits.LINGERING_CLOSE_QUIET_S
+                )
 
     def has_next_request(self) -> bool:
         """Return whether a part of the next request has been received."""
@@ -347,8 +349,8 @@
                 await self.finished.wait()
                 nursery.cancel_scope.cancel()
         finally:
-            core.client_gone(rpc)  # does nothing once the RPC is answered
-        await self.conclude()
+            core.cancel_rpc(rpc)  # does nothing once the RPC is answered
+        await self.write_final_answer()
 
     async def watch_client(self, rpc: RPC) -> None:
         """Read on until the client disconnects, then report that to the core."""
@@ -358,7 +360,7 @@
                 self.buffer_pipelined(data)
         except ConnectionLost as error:
             reason = str(error)
-        self.front.core.client_gone(rpc, reason)
+        self.front.core.cancel_rpc(rpc, reason)
 
     def buffer_pipelined(self, data: bytes) -> None:
         """Buffer bytes of pipelined requests in the parser, within the memory limits, or discard them."""
@@ -370,7 +372,7 @@
         self.arrivals.add(len(data), trio.current_time())
         self.parser.receive_data(data)
 
-    async def conclude(self) -> None:
+    async def write_final_answer(self) -> None:
         """Write the final answer, or what is left of it."""
         final = self.final
         assert final is not None
@@ -420,7 +422,7 @@
     def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
-    async def linger(self) -> None:
+    async def announce_close(self) -> None:
         self.draining = True
 
     async def drain(self) -> None:
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -225,7 +225,7 @@
             await self.finished.wait()
         finally:
             self.is_answering = False
-            front.core.client_gone(rpc)  # no effect once the RPC is answered
+            front.core.cancel_rpc(rpc)  # no effect once the RPC is answered
         assert self.final is not None
         error = error_status_of(self.final)
         if error is not None:
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -105,7 +105,7 @@
                         await self.wire.wait_written()  # the GOAWAY after a protocol error
                     if self.has_protocol_error:
                         await self.wire.connection.lingering_close(
-                            limits.HANG_UP_TIMEOUT_S, limits.HANG_UP_QUIET_S
+                            limits.LINGERING_CLOSE_TIMEOUT_S, limits.LINGERING_CLOSE_QUIET_S
                         )
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -64,7 +64,7 @@
             case _:
                 raise GrpcError(Code.UNIMPLEMENTED, f"{method[:100]} is not served here")
 
-    async def linger(self) -> None:
+    async def announce_close(self) -> None:
         self._send_goaways()
 
     async def drain(self) -> None:
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -149,7 +149,7 @@
             )
         )
 
-    def client_gone(self, rpc: RPC, reason: str = "") -> None:
+    def cancel_rpc(self, rpc: RPC, reason: str = "") -> None:
         """Cancel the RPC of a client that has disconnected; does nothing once the RPC is answered."""
         entry = self.open_rpcs.get(rpc.key)
         if entry is None or entry.answered:
@@ -157,14 +157,14 @@
         self._finish(entry, FinalAnswer(Outcome.GONE), reason)
         self._abandon(entry)
 
-    def closed_without_answer(self, rpc: str, reason: str) -> None:
+    def record_unanswered_close(self, rpc: str, reason: str) -> None:
         """Record that a connection was closed before its answer though the client had not disconnected."""
         self.audit.check(False, Rule.CLOSED_OWING, rpc, reason=reason)
 
     def _check_client(self, rpc: RPC) -> bool:
         """Return whether the client is still connected, and cancel its RPC if it is not."""
         if rpc.sink.has_client_left():
-            self.client_gone(rpc, "disconnected before an attempt was written")
+            self.cancel_rpc(rpc, "disconnected before an attempt was written")
             return False
         return True
 
--- a/sorreldock/routing/open_rpc.py
+++ b/sorreldock/routing/open_rpc.py
@@ -23,9 +23,8 @@
         self.attempts: list[Attempt | None] = []  # by number; None once an attempt has ended
         self.in_flight = 0
         self.statuses: list[Status] = []
-        self.first_run_at: float | None = (
-            None  # creation time of the first ended attempt that a server may have run
-        )
+        # The creation time of the first ended attempt that a server may have run.
+        self.first_run_at: float | None = None
         self.answered = False
 
     @property
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -96,7 +96,7 @@
 class RPCDispatcher(Protocol):
     """The part of the core that the fronts use."""
 
-    def closed_without_answer(self, rpc: str, reason: str) -> None:
+    def record_unanswered_close(self, rpc: str, reason: str) -> None:
         """Record that a connection was closed before its answer though the client had not disconnected."""
 
     classes: Mapping[str, RequestClass]
@@ -108,7 +108,7 @@
         Raises Overloaded when too many RPCs are open and NameTaken when an open one has the same name.
         """
 
-    def client_gone(self, rpc: RPC, reason: str = "") -> None:
+    def cancel_rpc(self, rpc: RPC, reason: str = "") -> None:
         """Cancel the RPC of a client that has disconnected; does nothing once the RPC is answered.
 
         `reason` is written to the log.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -137,7 +137,7 @@
 
         def end_and_disconnect(attempt: Any, result: AttemptResult, latency_s: float) -> None:
             on_ended(attempt, result, latency_s)
-            core.client_gone(attempt.rpc)
+            core.cancel_rpc(attempt.rpc)
 
         subchannel._on_ended = end_and_disconnect
         release.set()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -347,7 +347,7 @@
         data = await connection.stream.receive_some(65536)  # a head without `Connection: close`
         await connection.stream.send_all(raw(x_trace_id=b"ahead"))
         for front in router.program.fronts.values():
-            await front.linger()
+            await front.announce_close()
             await front.drain()
         finish.set()
         while more := await connection.stream.receive_some(65536):
