--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -9,7 +9,7 @@
 from ..transport.budget import DescriptorBudget, Use
 from ..transport.connection import Connection, ConnectionLost
 from ..transport.listener import Listener
-from ..transport.system import MACHINE, System
+from ..transport.system import REAL_SYSTEM, System
 
 MAX_LINE_BYTES = 64
 LINE_TIMEOUT_S = 5.0  # to receive a line, which an operator may type by hand
@@ -25,7 +25,7 @@
     """A listener for operators; `commands` maps each command to a function that returns its answer."""
 
     def __init__(
-        self, address: str, commands: dict[str, Callable[[], str]], system: System = MACHINE
+        self, address: str, commands: dict[str, Callable[[], str]], system: System = REAL_SYSTEM
     ) -> None:
         self._commands = commands
         self._pending: dict[trio.CancelScope, None] = {}  # in order of arrival
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -19,7 +19,7 @@
 from ..transport.budget import DescriptorBudget, PayloadBudget
 from ..transport.connection import dialler
 from ..transport.listener import Listener
-from ..transport.system import MACHINE, System
+from ..transport.system import REAL_SYSTEM, System
 from . import early_reload
 from .calls import OperatorCommands
 from .config import Config
@@ -76,7 +76,7 @@
     """
 
     def __init__(
-        self, config: Config, reload_config: Callable[[], Config] | None = None, system: System = MACHINE
+        self, config: Config, reload_config: Callable[[], Config] | None = None, system: System = REAL_SYSTEM
     ) -> None:
         self.config = config
         self.system = system
--- a/sorreldock/program/syslog.py
+++ b/sorreldock/program/syslog.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..transport.connection import ConnectionLost, DialFailed, dialler
-from ..transport.system import MACHINE, System
+from ..transport.system import REAL_SYSTEM, System
 
 SEVERITIES = {
     "emerg": 0,
@@ -74,7 +74,7 @@
         collector: str = "",
         min_severity: str = "info",
         descriptor: int | None = None,
-        system: System = MACHINE,
+        system: System = REAL_SYSTEM,
     ) -> None:
         self.host = host or socket.gethostname()
         self.collector = collector
@@ -134,7 +134,7 @@
             try:
                 while True:
                     await self._wait_for_record()
-                    if connection.stale:  # a collector sends nothing, so readable means closed
+                    if connection.is_stale:  # a collector sends nothing, so readable means closed
                         raise ConnectionLost("closed by the collector")
                     frame = self._waiting[0]
                     with trio.fail_after(WRITE_TIMEOUT_S):
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -39,7 +39,7 @@
         self.chunked = False
 
     async def usable(self) -> bool:
-        return not self.connection.stale
+        return not self.connection.is_stale
 
     async def next_event(self) -> h11.Event:
         """Return the next event of the answer; ServerProtocolError for invalid HTTP."""
@@ -228,7 +228,7 @@
             timeout_s = server_client.EVENT_GAP_TIMEOUT_S
             await progress.forward_event(events)
 
-    async def ask_load(self, connection: ServerConnection) -> AttemptResult:
+    async def send_probe(self, connection: ServerConnection) -> AttemptResult:
         await connection.send(
             h11.Request(method=b"GET", target=self._probe_path, headers=[(b"host", self._host)])
         )
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -61,7 +61,7 @@
 
     @property
     def owes_answer(self) -> bool:
-        return self.stage in (Stage.PARTIAL, Stage.TAKEN)
+        return self.stage in (Stage.PARTIAL, Stage.ANSWERING)
 
     def close_if_idle(self) -> bool:
         if self.is_closing:  # its last answer may be unread, and an immediate close could reset it
@@ -78,7 +78,7 @@
     def evict(self) -> None:
         self.connection.close()
         self.release_body()
-        self.set_stage(Stage.TAKEN)  # takes it out of the eviction queue
+        self.set_stage(Stage.ANSWERING)  # takes it out of the eviction queue
 
     def set_stage(self, stage: Stage) -> None:
         """Enter a stage now, and update the eviction queue."""
@@ -304,7 +304,7 @@
                 if stall.cancelled_caught:
                     raise ImmediateAnswer(408, "the body does not go on", (CLOSE,))
                 if isinstance(event, h11.EndOfMessage):
-                    self.set_stage(Stage.TAKEN)
+                    self.set_stage(Stage.ANSWERING)
                     return b"".join(parts)
                 if not isinstance(event, h11.Data):
                     raise ConnectionLost("the client closed the connection within its body")
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -53,8 +53,8 @@
 class Exchange:
     """One stream to a server, from its request to its trailers."""
 
-    def __init__(self, line: ServerConnection, number: int) -> None:
-        self.line = line
+    def __init__(self, connection: ServerConnection, number: int) -> None:
+        self.connection = connection
         self.number = number
         self.deframer = Deframer(MAX_ANSWER_BYTES)
         self.headers: dict[str, str] = {}
@@ -63,7 +63,7 @@
 
     async def step(self) -> None:
         """Read once from the connection and handle the events that arrived."""
-        events = await self.line.wire.receive()
+        events = await self.connection.wire.receive()
         if events is None:
             raise ConnectionLost("closed by the server")
         for event in events:
@@ -71,12 +71,12 @@
         # This sends SETTINGS acknowledgements and window updates. A failure is ignored, so that no answer or
         # event is lost that arrived right before the server closed: the next read reports the close.
         with suppress(ConnectionLost):
-            await self.line.wire.flush()
+            await self.connection.wire.flush()
 
     def handle_event(self, event: h2.events.Event | GoAway) -> None:
         match event:
             case GoAway(last_stream_id, error):
-                self.line.goaway_received = True
+                self.connection.goaway_received = True
                 if last_stream_id < self.number:
                     raise RequestNotProcessed("excluded by a GOAWAY")
                 if error:
@@ -91,7 +91,7 @@
                 self.trailers = [(str(k), str(v)) for k, v in event.headers or []]
             case h2.events.DataReceived():
                 self.deframer.feed(event.data or b"")
-                self.line.wire.acknowledge(self.number, event.flow_controlled_length or 0)
+                self.connection.wire.acknowledge(self.number, event.flow_controlled_length or 0)
             case h2.events.StreamEnded():
                 self.ended = True
             case h2.events.StreamReset():
@@ -102,7 +102,7 @@
 
     async def send(self, data: bytes) -> None:
         """Send the request as flow control allows; stop if the answer ends before the request is sent."""
-        wire, view = self.line.wire, memoryview(data)
+        wire, view = self.connection.wire, memoryview(data)
         while view and not self.ended:
             window = wire.send_window(self.number)
             if window > 0:
@@ -196,11 +196,11 @@
         )
         self._address = address
 
-    async def send(self, line: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
+    async def send(self, connection: ServerConnection, rpc: RPC, progress: AttemptProgress) -> Exchange:
         payload = rpc.payload
         assert isinstance(payload, KservePayload)
         with translate_errors():
-            exchange = line.open_exchange(
+            exchange = connection.open_exchange(
                 payload.method, self._address, progress.first_event_timeout_s(), payload.metadata
             )
             await exchange.send(frame(payload.message))
@@ -239,9 +239,11 @@
             return AttemptResult(Status.FULL, load, note=f"grpc-status {code}")
         return AttemptResult(Status.ERROR, load, note=f"grpc-status {code}: {text}")
 
-    async def ask_load(self, line: ServerConnection) -> AttemptResult:
+    async def send_probe(self, connection: ServerConnection) -> AttemptResult:
         with translate_errors():
-            exchange = line.open_exchange("ServerReady", self._address, server_client.PROBE_TIMEOUT_S, [])
+            exchange = connection.open_exchange(
+                "ServerReady", self._address, server_client.PROBE_TIMEOUT_S, []
+            )
             await exchange.send(frame(b""))
             message = await exchange.next_message()
             while await exchange.next_message() is not None:
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -29,7 +29,7 @@
 class ClientConnection:
     """One client connection, the only reader of its wire, and its streams."""
 
-    reserved_bytes = 0  # its streams reserve their own; a connection with a stream is in the stage TAKEN
+    reserved_bytes = 0  # each stream reserves its own; a connection with streams is in the stage ANSWERING
 
     def __init__(self, front: KserveFront, connection: Connection) -> None:
         self.front = front
@@ -52,7 +52,7 @@
     @property
     def stage(self) -> Stage:
         if self.streams:
-            return Stage.TAKEN
+            return Stage.ANSWERING
         return Stage.IDLE if self.has_sent_request else Stage.SILENT
 
     @property
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -64,7 +64,7 @@
         """Forward the events of the answer until its end, and return the result."""
 
     @abstractmethod
-    async def ask_load(self, connection: L) -> AttemptResult:
+    async def send_probe(self, connection: L) -> AttemptResult:
         """Send a probe and return its result, with the load report of the server."""
 
     async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
@@ -105,7 +105,7 @@
                 return AttemptResult(dial_status(error), note=str(error))
             completed = False
             try:
-                result = await self.ask_load(connection)
+                result = await self.send_probe(connection)
                 completed = True
                 return result
             except (ConnectionLost, ServerProtocolError) as error:
--- a/sorreldock/routing/core.py
+++ b/sorreldock/routing/core.py
@@ -71,7 +71,7 @@
         self,
         settings: Settings,
         seed: int,
-        connect: ServerClientFactory,
+        create_clients: ServerClientFactory,
         log: Log,
         max_open_rpcs: int = 512,
         probe_protocol: str = "http",
@@ -82,7 +82,7 @@
         self.tenants: Collection[str] = {t.name for t in settings.tenants}
         self.open_rpcs: dict[str, OpenRPC] = {}
         self._table = ServerTable(
-            connect,
+            create_clients,
             probe_protocol,
             self._on_attempt_ended,
             self._on_probe_ended,
--- a/sorreldock/routing/permissions.py
+++ b/sorreldock/routing/permissions.py
@@ -27,9 +27,9 @@
     """The reason why an attempt may not be started or written now."""
 
     ANSWERED = "the RPC is already answered"
-    ANOTHER_OUT = "another attempt is in flight"
+    ANOTHER_IN_FLIGHT = "another attempt is in flight"
     NOT_READY = "the server is draining or not listed"
-    GIVEN_UP = "the attempt was cancelled"
+    ABORTED = "the attempt was cancelled"
     WINDOW_OVER = "the server's deduplication window has ended"
     EXPIRED = "the deadline has passed"
     CLIENT_LEFT = "the client has disconnected"
@@ -52,7 +52,7 @@
     if answered:
         return Denial.ANSWERED
     if others_in_flight:
-        return Denial.ANOTHER_OUT
+        return Denial.ANOTHER_IN_FLIGHT
     return None if server_ready else Denial.NOT_READY
 
 
@@ -67,7 +67,7 @@
 ) -> Denial | None:
     """Return None if the first byte of an attempt may be written, else the reason against it."""
     if aborted:
-        return Denial.GIVEN_UP
+        return Denial.ABORTED
     if not server_ready:  # the server began to drain while the attempt was connecting
         return Denial.NOT_READY
     if now >= expires_at:
--- a/sorreldock/routing/server_table.py
+++ b/sorreldock/routing/server_table.py
@@ -15,14 +15,14 @@
 
     def __init__(
         self,
-        connect: ServerClientFactory,
+        create_clients: ServerClientFactory,
         probe_protocol: str,
         on_ended: AttemptCallback,
         on_probed: ProbeCallback,
         drain_grace_s: float,
     ) -> None:
         self.subchannels: dict[int, Subchannel] = {}
-        self._connect = connect
+        self._create_clients = create_clients
         self._probe_protocol = probe_protocol
         self._on_ended = on_ended
         self._on_probed = on_probed
@@ -69,7 +69,7 @@
             known = self.subchannels[number] = Subchannel(
                 number,
                 target,
-                self._connect,
+                self._create_clients,
                 self._probe_protocol,
                 self._on_ended,
                 self._on_probed,
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -122,7 +122,7 @@
         self,
         number: int,
         target: Target,
-        connect: ServerClientFactory,
+        create_clients: ServerClientFactory,
         probe_protocol: str,
         on_ended: AttemptCallback,
         on_probed: ProbeCallback,
@@ -135,7 +135,7 @@
         # Whether the actor runs. It starts with the first order, since most servers of a large fleet are
         # never used.
         self.running = False
-        self._connect = connect
+        self._create_clients = create_clients
         self._clients: dict[str, ServerClient] | None = None
         self._probe_protocol = probe_protocol
         self._on_ended = on_ended
@@ -161,7 +161,7 @@
     def clients(self) -> dict[str, ServerClient]:
         """The clients of this server by protocol, created at first use."""
         if self._clients is None:
-            self._clients = self._connect(self.target.endpoint)
+            self._clients = self._create_clients(self.target.endpoint)
         return self._clients
 
     @property
--- a/sorreldock/transport/admission.py
+++ b/sorreldock/transport/admission.py
@@ -18,7 +18,7 @@
     SILENT = "silent"  # no byte received yet
     PARTIAL = "half"  # part of a request received
     IDLE = "idle"  # between two requests, or after an error
-    TAKEN = "taken"  # a whole request received and its answer not finished
+    ANSWERING = "taken"  # a whole request received and its answer not finished
 
 
 # Seconds since the stage began; for a partial request, since its last byte. A client on an idle connection
@@ -47,7 +47,7 @@
 
 def timeout_fraction(candidate: Candidate, now: float) -> float:
     """Return the weighted fraction of its stage's timeout that has passed; 0 if it must not be closed now."""
-    if candidate.stage is Stage.TAKEN or now - candidate.since < MIN_STAGE_AGE_S:
+    if candidate.stage is Stage.ANSWERING or now - candidate.since < MIN_STAGE_AGE_S:
         return 0.0
     fraction = (now - candidate.since) / STAGE_TIMEOUT_S[candidate.stage]
     return fraction**PARTIAL_EXPONENT if candidate.stage is Stage.PARTIAL else fraction
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -10,7 +10,7 @@
 
 from .failures import is_local_shortage, is_transient, retry_transient
 from .ring import RingBuffer
-from .system import MACHINE, System
+from .system import REAL_SYSTEM, System
 
 RING_BYTES = 16384
 # States of the kernel's tcp_info (include/net/tcp_states.h) in which the peer has closed its side.
@@ -178,7 +178,7 @@
         return not self._closed and (self._reading or bool(self._incoming) or self._sock.is_readable())
 
     @property
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether an idle connection was closed by the peer or has received unexpected bytes."""
         return self._closed or self.readable
 
@@ -237,7 +237,7 @@
 
 
 async def dial(
-    address: str, timeout_s: float, on_close: Callable[[], None], system: System = MACHINE
+    address: str, timeout_s: float, on_close: Callable[[], None], system: System = REAL_SYSTEM
 ) -> Connection:
     """Open a connection within `timeout_s`; if that fails, call `on_close` and raise.
 
--- a/sorreldock/transport/listener.py
+++ b/sorreldock/transport/listener.py
@@ -12,7 +12,7 @@
 from .budget import DescriptorBudget, Use
 from .connection import Connection, split_address
 from .failures import is_resource_shortage, retry_transient
-from .system import MACHINE, System
+from .system import REAL_SYSTEM, System
 
 ACCEPT_PAUSE_S = 0.01  # after a failed accept: the system may be short of descriptors or memory
 BIND_TIMEOUT_S = 5.0  # for the system to provide the resources of a listening socket
@@ -24,7 +24,11 @@
     """Accepts connections within the descriptor budget."""
 
     def __init__(
-        self, address: str, budget: DescriptorBudget, system: System = MACHINE, inherited: int | None = None
+        self,
+        address: str,
+        budget: DescriptorBudget,
+        system: System = REAL_SYSTEM,
+        inherited: int | None = None,
     ) -> None:
         host, port = split_address(address)
         self._family = socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/sorreldock/transport/system.py
+++ b/sorreldock/transport/system.py
@@ -1,8 +1,8 @@
 """The operating system's services used by the program: sockets, clocks, signals and log output.
 
 `program` holds one `System` and passes on what each part needs; no other part of the router depends on which
-one it is. `MACHINE` is the real one. The lab has another one, which runs the same program on a virtual clock
-and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the whole run; the
+one it is. `REAL_SYSTEM` is the operating system itself. The lab has another one, which runs the same program
+on a virtual clock and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the whole run; the
 only source of randomness is the configuration's seed.
 """
 
@@ -81,7 +81,7 @@
         """Write log lines without blocking other tasks; ignore errors."""
 
 
-class Machine:
+class RealSystem:
     """The services of the real operating system."""
 
     clock: trio.abc.Clock | None = None
@@ -122,4 +122,4 @@
         pass  # the reader has closed the descriptor
 
 
-MACHINE = Machine()
+REAL_SYSTEM = RealSystem()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,7 +17,7 @@
 from sorreldock.program.phases import Phase
 from sorreldock.program.serve import Program
 from sorreldock.protocol.http.discovery import decode_result
-from sorreldock.transport.system import Machine
+from sorreldock.transport.system import RealSystem
 from sorreldock.wire import decode_settings
 
 SETTINGS: dict[str, Any] = {
@@ -144,7 +144,7 @@
     return script
 
 
-class MachineWithoutSignals(Machine):
+class SystemWithoutSignals(RealSystem):
     """A system that delivers no signals, for several programs in the process of the tests.
 
     With two that handle signals, the one that ends last would restore the handlers of the other one. Tests of
@@ -392,7 +392,7 @@
             console=console,
         )
         async with trio.open_nursery() as nursery:
-            router = Router(Program(config, system=MachineWithoutSignals()), nursery)
+            router = Router(Program(config, system=SystemWithoutSignals()), nursery)
             nursery.start_soon(router.program.run)
             await router.program.serving.wait()
             yield router
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -50,7 +50,7 @@
     now = 10.0
     evicted = select_evictions(candidates, now, max_count)
     others = [
-        g for g in candidates if g.stage is not Stage.TAKEN and now - g.since >= admission.MIN_STAGE_AGE_S
+        g for g in candidates if g.stage is not Stage.ANSWERING and now - g.since >= admission.MIN_STAGE_AGE_S
     ]
     assert len(evicted) <= max_count and bool(evicted) == bool(others)
     assert all(g in others for g in evicted)
@@ -84,7 +84,7 @@
     stopped, fresh, taken = (
         Candidate(Stage.PARTIAL, now - 3),
         Candidate(Stage.SILENT, now),
-        Candidate(Stage.TAKEN, now - 9),
+        Candidate(Stage.ANSWERING, now - 9),
     )
     candidates = [taken, fresh, slow, silent, idle, stopped]
     # An idle connection ranks before a slow partial request, since closing it loses nothing.
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -19,7 +19,7 @@
 from sorreldock.transport.budget import DescriptorBudget, Use
 from sorreldock.transport.connection import Connection, LocalShortage, closed_by_peer, dial
 from sorreldock.transport.failures import is_local_shortage, is_transient
-from sorreldock.transport.system import Machine
+from sorreldock.transport.system import RealSystem
 
 ALLOWED: dict[str, Any] = {
     "aborted": False,
@@ -35,7 +35,7 @@
     ("changes", "denial"),
     [
         ({}, None),
-        ({"aborted": True}, Denial.GIVEN_UP),
+        ({"aborted": True}, Denial.ABORTED),
         ({"server_ready": False}, Denial.NOT_READY),
         ({"expires_at": 1.0}, Denial.EXPIRED),
         ({"send_by": 0.9}, Denial.WINDOW_OVER),
@@ -50,13 +50,13 @@
     def check() -> bool:
         raise AssertionError("the check has a side effect: it ends the RPC of a disconnected client")
 
-    assert may_write(**{**ALLOWED, "aborted": True, "client_present": check}) is Denial.GIVEN_UP
+    assert may_write(**{**ALLOWED, "aborted": True, "client_present": check}) is Denial.ABORTED
 
 
 def test_each_condition_that_denies_an_attempt() -> None:
     assert may_begin(answered=False, others_in_flight=0, server_ready=True) is None
     assert may_begin(answered=True, others_in_flight=0, server_ready=True) is Denial.ANSWERED
-    assert may_begin(answered=False, others_in_flight=1, server_ready=True) is Denial.ANOTHER_OUT
+    assert may_begin(answered=False, others_in_flight=1, server_ready=True) is Denial.ANOTHER_IN_FLIGHT
     assert may_begin(answered=False, others_in_flight=0, server_ready=False) is Denial.NOT_READY
     assert write_until(1.0, 0.1) == 1.0 and write_until(1.0, 2.0) == pytest.approx(2.85)
 
@@ -125,7 +125,7 @@
         assert is_local_shortage(OSError(number, "")) is (number in local)
 
 
-class NoDescriptors(Machine):
+class NoDescriptors(RealSystem):
     """A system that fails to create the first sockets for lack of descriptors."""
 
     def __init__(self, failures: int) -> None:
