--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -55,21 +55,21 @@
 # Draws in a bucket beyond the homes, before the next bucket: with half of a bucket rejected, 1 key in 64
 # uses all of them.
 MAX_FURTHER_DRAWS = 6
-MAX_RANKED_HOMES = 32  # of a prefix; beyond that a session ranks a sample of them instead of all
+MAX_RANKED_HOMES = 32  # homes of a prefix that a session ranks; of more it ranks a sample
 SAMPLED_HOMES = 8
 MAX_SCANNED_REPLICAS = 256  # replicas that the last resort examines one by one; from more it draws some
 LAST_RESORT_DRAWS = 64
 MAX_CACHED_KEYS = 1000  # keys whose draws are cached: more than the prefixes in use, a few hundred kB
 HOMES_MULTIPLE = 2.0  # homes of a prefix per replica that its share of the traffic would fill
 REJECTION_HALF_LIFE_S = 2.0  # of a rejection probability without new overload; a report is fresh for as long
-MAX_RECEIVED_ATTEMPTS = 2  # a third try adds to the storm that failed two: clients retry as well
-FIRST_EJECTION_S = 2.0  # short, as a first failure may be chance; doubles with each further failure
+MAX_RECEIVED_ATTEMPTS = 2  # clients retry as well: a third attempt would add to the overload that failed two
+FIRST_EJECTION_S = 2.0  # short, since a first failure may be chance; doubles with each further failure
 MAX_EJECTION_S = 16.0
-MAX_DOUBLINGS = 8  # of a pause: enough for the longest ones, and some thousand would overflow a float
-# A replica that shares its steps among too many streams may report no queue; the number of own open attempts
-# shows it. Beyond this multiple of its fair share, and beyond chance, a replica is crowded.
+MAX_DOUBLINGS = 8  # of a pause: enough to reach the longest one; some thousand would overflow a float
+# A replica that shares its steps among too many streams may report no queue. It counts as crowded if this
+# gateway's open attempts there exceed this multiple of its fair share, and by more than chance.
 CROWDED_MULTIPLE = 1.25
-# Of the fair share in the whole fleet; measured: requests that cross zones cost less than slow streams.
+# Of the fair share in the whole fleet: requests that cross zones cost less than slow streams.
 CROWDED_ZONE_MULTIPLE = 0.8
 # What a gateway's snapshot holds of each replica: the attributes' values, by position in a list.
 REPLICA_SNAPSHOT_ATTRIBUTES = (
@@ -98,13 +98,14 @@
     "zone_p_at": "zone_rejection_updated_at",
     "lateness": "late_fraction",
 }
-MANY_GATEWAYS = 6  # with more, each samples loads for fewer of its requests: all of them pay for all probes
+MANY_GATEWAYS = 6  # with more, each probes for a smaller part of its requests, to limit the sum of all probes
 MAX_PROBE_S = 0.26  # a probe has ended by then, answered or not
-# An attempt is stuck if one that was sent so much later has its first token, in a third of the time or less.
+# An attempt is stuck if one that was sent more than this later got its first token in less than a third of the
+# time for which the stuck one has waited.
 OVERTAKING_LAG_S = 0.5
 UNCROWDED_ZONE_ATTEMPTS = 6.5  # open attempts for each replica of mean weight that never make a zone crowded
-# Late requests that may be moved at once. In the long run moves are a tenth of the requests served: a moved
-# one may have run for nothing.
+# Late requests that may be moved in quick succession. In the long run at most a tenth of the requests served is
+# moved, since a moved one may have run for nothing.
 MAX_MOVE_CREDIT = 3.0
 UNCROWDED_ATTEMPTS = 2.0  # open attempts that never make a replica crowded
 
@@ -274,7 +275,7 @@
         """Return a replica's open attempts, plus one, as a multiple of the bound on its share of them."""
         share = self.capacity(replica) / max(bucket.capacity(self.now), 1e-9)
         mean = share * (bucket.open_attempts + 1)
-        # Two standard deviations; the less of the traffic this gateway has, the more is chance.
+        # Two standard deviations; a gateway with a smaller part of the traffic has more variation by chance.
         chance = 2.0 * math.sqrt(mean * max(1.0 - MANY_GATEWAYS / self.settings.gateways, 0.0))
         return (replica.open_attempts + 1) / max(CROWDED_MULTIPLE * mean, mean + chance, UNCROWDED_ATTEMPTS)
 
@@ -317,7 +318,7 @@
                     or self.expected_first_token_s(replica) < self.expected_first_token_s(fallback)
                 ):
                     fallback = replica
-            # Crowded is not overloaded: crowding alone sends no request to another zone.
+            # Crowding is not overload: alone it sends no request to another zone.
             if least_crowded is not None:
                 return least_crowded
         if fallback is not None:  # all drawn replicas are overloaded; an estimate alone refuses no request
@@ -393,6 +394,7 @@
         replica.ejected_until = self.now + pause_s * self.random.uniform(0.75, 1.25)
 
     def first_token_aim_s(self, request: Request) -> float:
+        """Return the aimed time to the first token, by the request's class and the length of its prompt."""
         return (
             request.request_class.aim_s
             + request.request_class.aim_s_per_1k_tokens * request.event.prompt_tokens / 1000.0
@@ -401,7 +403,7 @@
     def refusal_probability(self, replica: Replica) -> float:
         """Return the part of the rejection probability that a replica's own rejections caused.
 
-        It halves every two seconds without one.
+        It halves with each `REJECTION_HALF_LIFE_S` without a further one.
         """
         return replica.refusal_level * math.exp2(
             -min((self.now - replica.refused_at) / REJECTION_HALF_LIFE_S, 60.0)
@@ -505,7 +507,7 @@
                 self.now if event.status is Status.NO_LISTENER else replica.no_listener_at
             )
             self.add_refusal(replica)
-        # Only the requests that wait: a loop over all open ones used up the CPU in an overload storm.
+        # Only the waiting requests: a loop over all open ones would use up the CPU under heavy overload.
         for request in list(self.awaiting_probe.values()):
             if request.awaited_replica is replica:
                 del self.awaiting_probe[request.event.request]
@@ -549,9 +551,9 @@
         return max(1, home_count), prefix_count / self.prefixed_count
 
     def sample_load(self) -> None:
-        """Probe a random replica of the fleet for some requests, if probes are allowed and cheap enough."""
+        """Probe a random replica of the fleet for some requests, if probes are allowed and within budget."""
         price, probability = self.settings.prices.probe, MANY_GATEWAYS / self.settings.gateways
-        # With late answers the local zone may be worse off than others, which rare samples would not show.
+        # With late answers the local zone may be more loaded than others, which rare samples would not show.
         if self.late_fraction > 0.1:
             probability = 1.0
         if self.settings.limits.probes and self.all_zones:
@@ -589,7 +591,7 @@
         return True
 
     def is_permitted(self, request: Request, replica: Replica) -> bool:
-        """Return whether an attempt there keeps the second rule: a request takes effect at most once."""
+        """Return whether an attempt at the replica is allowed: a request must take effect at most once."""
         effect = request.request_class.effect
         if effect is Effect.SAFE:
             return True
@@ -607,6 +609,7 @@
         return True
 
     def has_attempts_left(self, request: Request) -> bool:
+        """Return whether the limits on all attempts and on those that servers received allow another one."""
         received = sum(a.end_status not in NOT_RECEIVED for a in request.attempts)
         return len(request.attempts) < self.settings.limits.max_attempts and received < MAX_RECEIVED_ATTEMPTS
 
@@ -624,6 +627,7 @@
         return False
 
     def start_attempt(self, request: Request, replica: Replica, left_s: float) -> None:
+        """Start an attempt that may take `left_s` seconds, and a timer for a late first token."""
         request.attempts.append(Attempt(replica, self.now))
         replica.open_attempts += 1
         self.actions.append(StartAttempt(request.event.request, replica.entry.replica, left_s))
@@ -772,7 +776,7 @@
             SetTimer(0.3 * request.request_class.aim_s, f"late:{request.event.request}:{number}")
         )
         if limits.probes and replica.probed_at <= max(attempt.sent_at, self.now - 1.0):
-            # With little traffic, a lack of first tokens alone does not show that the replica hangs.
+            # With little traffic, a lack of first tokens alone does not prove that the replica hangs.
             self.ensure_probe(replica, False)
             return
         answered_at = max(replica.first_token_at, replica.load_reported_at, replica.probe_answered_at)
--- a/sorreldock/transport/system.py
+++ b/sorreldock/transport/system.py
@@ -2,8 +2,8 @@
 
 `program` holds one `System` and passes on what each part needs; no other part of the router depends on which
 one it is. `REAL_SYSTEM` is the operating system itself. The lab has another one, which runs the same program
-on a virtual clock and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the whole run; the
-only source of randomness is the configuration's seed.
+on a virtual clock and an in-memory network. The monotonic clock is trio's own, which `clock` replaces for the
+whole run; the only source of randomness is the configuration's seed.
 """
 
 from __future__ import annotations
