--- a/sorreldock/routing/permissions.py
+++ b/sorreldock/routing/permissions.py
@@ -2,7 +2,7 @@
 
 The rules are pure functions of their arguments. The client's connection is checked last, since the process
 may be delayed between reading its clock and writing. The decision module decides whether a request may be
-repeated at another server (`Gateway.is_permitted`); `send_by` bounds the time for which that permission holds.
+repeated at another server (`Gateway.is_permitted`), and `send_by` bounds how long that permission holds.
 `Audit` counts violations of the rules.
 """
 
--- a/sorreldock/rules.py
+++ b/sorreldock/rules.py
@@ -98,14 +98,14 @@
     "zone_p_at": "zone_rejection_updated_at",
     "lateness": "late_fraction",
 }
-MANY_GATEWAYS = 6  # with more, each probes for a smaller part of its requests, to limit the sum of all probes
+MANY_GATEWAYS = 6  # with more, each probes for fewer of its requests, since all their probes add up
 MAX_PROBE_S = 0.26  # a probe has ended by then, answered or not
-# An attempt is stuck if one that was sent more than this later got its first token in less than a third of the
-# time for which the stuck one has waited.
+# An attempt is stuck if one that was sent more than this later got its first token in less than a third of
+# the time for which the stuck one has waited.
 OVERTAKING_LAG_S = 0.5
 UNCROWDED_ZONE_ATTEMPTS = 6.5  # open attempts for each replica of mean weight that never make a zone crowded
-# Late requests that may be moved in quick succession. In the long run at most a tenth of the requests served is
-# moved, since a moved one may have run for nothing.
+# Late requests that may be moved in quick succession. In the long run at most a tenth of the served requests
+# is moved, since a moved one may have run for nothing.
 MAX_MOVE_CREDIT = 3.0
 UNCROWDED_ATTEMPTS = 2.0  # open attempts that never make a replica crowded
 
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -56,7 +56,7 @@
 class Stream:
     """One stream of a connection, on the client or the server side."""
 
-    end: H2Endpoint
+    endpoint: H2Endpoint
     number: int
     headers: dict[str, str] = field(default_factory=dict)
     data: bytes = b""
@@ -64,54 +64,57 @@
     ended: bool = False
     reset: int | None = None
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until the condition holds or the stream is over."""
-        while not condition() and not self.over():
-            await self.end.changed.wait()
-
-    def refused(self) -> bool:
-        """Return whether the other side receives no more, because it has answered in full already."""
-        return self.reset is not None or (self.end.client and self.ended)
-
-    def over(self) -> bool:
-        return self.ended or self.reset is not None or self.end.closed
-
-    async def send(self, *messages: bytes, end: bool = False) -> None:
-        view = b"".join(map(frame_message, messages))
-        conn = self.end.h2
-        while view and not self.refused():
-            room = min(conn.local_flow_control_window(self.number), conn.max_outbound_frame_size)
-            if room <= 0:
-                await self.end.changed.wait()
+        while not condition() and not self.is_over():
+            await self.endpoint.changed.wait()
+
+    def is_rejected(self) -> bool:
+        """Return whether the other side reads no more data, since it has reset the stream or has answered."""
+        return self.reset is not None or (self.endpoint.client and self.ended)
+
+    def is_over(self) -> bool:
+        return self.ended or self.reset is not None or self.endpoint.closed
+
+    async def send(self, *messages: bytes, end_stream: bool = False) -> None:
+        unsent = b"".join(map(frame_message, messages))
+        connection = self.endpoint.h2
+        while unsent and not self.is_rejected():
+            window = min(
+                connection.local_flow_control_window(self.number), connection.max_outbound_frame_size
+            )
+            if window <= 0:
+                await self.endpoint.changed.wait()
                 continue
-            conn.send_data(self.number, view[:room])
-            view = view[room:]
-            await self.end.flush()
-        if end and not self.refused():
-            conn.end_stream(self.number)
-            await self.end.flush()
+            connection.send_data(self.number, unsent[:window])
+            unsent = unsent[window:]
+            await self.endpoint.flush()
+        if end_stream and not self.is_rejected():
+            connection.end_stream(self.number)
+            await self.endpoint.flush()
 
     async def start(self) -> None:
-        self.end.h2.send_headers(self.number, [(":status", "200"), ("content-type", "application/grpc")])
-        await self.end.flush()
+        self.endpoint.h2.send_headers(self.number, [(":status", "200"), ("content-type", "application/grpc")])
+        await self.endpoint.flush()
 
     async def finish(self, code: int, **metadata: str) -> None:
         """Send the trailers, as a trailers-only response if the answer wasn't started."""
         fields = [("grpc-status", str(code)), *((k.replace("_", "-"), v) for k, v in metadata.items())]
-        if not self.end.h2.streams[self.number].state_machine.headers_sent:
+        if not self.endpoint.h2.streams[self.number].state_machine.headers_sent:
             fields = [(":status", "200"), ("content-type", "application/grpc"), *fields]
-        self.end.h2.send_headers(self.number, fields, end_stream=True)
-        await self.end.flush()
+        self.endpoint.h2.send_headers(self.number, fields, end_stream=True)
+        await self.endpoint.flush()
 
     async def answer(self) -> tuple[int, list[bytes]]:
         """Return the status and the messages; -1 for a stream that was reset or whose connection closed."""
-        await self.until(lambda: False)
+        await self.wait_until(lambda: False)
         fields = self.trailers or self.headers
-        whole = self.ended and "grpc-status" in fields
-        return (int(fields["grpc-status"]) if whole else -1), split_messages(self.data)
+        is_complete = self.ended and "grpc-status" in fields
+        return (int(fields["grpc-status"]) if is_complete else -1), split_messages(self.data)
 
     async def messages(self, count: int) -> list[bytes]:
-        await self.until(lambda: len(split_messages(self.data)) >= count)
+        """Return the messages once there are at least `count`, or fewer if the stream is over before."""
+        await self.wait_until(lambda: len(split_messages(self.data)) >= count)
         return split_messages(self.data)
 
 
@@ -175,10 +178,10 @@
                     on_request(stream)
 
 
-async def answer_in_full(call: Stream) -> None:
-    await call.start()
-    await call.send(stream_response(1), stream_response(2))
-    await call.finish(0)
+async def answer_in_full(stream: Stream) -> None:
+    await stream.start()
+    await stream.send(stream_response(1), stream_response(2))
+    await stream.finish(0)
 
 
 class DualProtocolServer(ScriptedServer):
@@ -196,17 +199,17 @@
         if first != b"PRI":
             await super().attend(rest)
             return
-        end = H2Endpoint(rest, client=False)
+        endpoint = H2Endpoint(rest, client=False)
         async with trio.open_nursery() as nursery:
-            await end.read(lambda call: nursery.start_soon(self._run_script, call))
+            await endpoint.read(lambda stream: nursery.start_soon(self._run_script, stream))
             nursery.cancel_scope.cancel()
 
-    async def _run_script(self, call: Stream) -> None:
-        self.grpc_streams.append(call)
+    async def _run_script(self, stream: Stream) -> None:
+        self.grpc_streams.append(stream)
         self.open_requests += 1
         self.max_open_requests = max(self.max_open_requests, self.open_requests)
         try:
-            await (self.grpc_scripts.pop(0) if self.grpc_scripts else self.grpc_script)(call)
+            await (self.grpc_scripts.pop(0) if self.grpc_scripts else self.grpc_script)(stream)
         finally:
             self.open_requests -= 1
 
@@ -226,11 +229,11 @@
 class Client:
     """A gRPC client with one connection."""
 
-    def __init__(self, end: H2Endpoint) -> None:
-        self.end = end
+    def __init__(self, endpoint: H2Endpoint) -> None:
+        self.endpoint = endpoint
 
-    async def start(self, method: str, *messages: bytes, end: bool = True, **fields: str) -> Stream:
-        number = self.end.h2.get_next_available_stream_id()
+    async def start(self, method: str, *messages: bytes, end_stream: bool = True, **fields: str) -> Stream:
+        number = self.endpoint.h2.get_next_available_stream_id()
         headers = [
             (":method", "POST"),
             (":scheme", "http"),
@@ -240,18 +243,18 @@
             ("content-type", "application/grpc"),
             *{**METADATA, **{k.replace("_", "-"): v for k, v in fields.items()}}.items(),
         ]
-        self.end.h2.send_headers(number, [(k, v) for k, v in headers if v])
-        stream = self.end.streams[number] = Stream(self.end, number)
-        await self.end.flush()
-        await stream.send(*messages, end=end)
+        self.endpoint.h2.send_headers(number, [(k, v) for k, v in headers if v])
+        stream = self.endpoint.streams[number] = Stream(self.endpoint, number)
+        await self.endpoint.flush()
+        await stream.send(*messages, end_stream=end_stream)
         return stream
 
     async def call(self, method: str, *messages: bytes, **fields: str) -> tuple[int, list[bytes]]:
         return await (await self.start(method, *messages, **fields)).answer()
 
     async def cancel(self, stream: Stream) -> None:
-        self.end.h2.reset_stream(stream.number, h2.errors.ErrorCodes.CANCEL)
-        await self.end.flush()
+        self.endpoint.h2.reset_stream(stream.number, h2.errors.ErrorCodes.CANCEL)
+        await self.endpoint.flush()
 
 
 @asynccontextmanager
@@ -260,9 +263,9 @@
 ) -> AsyncIterator[Client]:
     host, port = router.program.addresses["kserve"].rsplit(":", 1)
     stream = await trio.open_tcp_stream(host, int(port))
-    end = H2Endpoint(stream, client=True, acknowledges_data=acknowledges_data)
+    endpoint = H2Endpoint(stream, client=True, acknowledges_data=acknowledges_data)
     async with stream, trio.open_nursery() as nursery:
         if reads:
-            nursery.start_soon(end.read)
-        yield Client(end)
+            nursery.start_soon(endpoint.read)
+        yield Client(endpoint)
         nursery.cancel_scope.cancel()
--- a/tests/test_bad_days.py
+++ b/tests/test_bad_days.py
@@ -126,11 +126,11 @@
 async def test_a_repeated_id_of_an_open_request_is_refused_and_the_first_request_continues() -> None:
     resume = trio.Event()
 
-    async def answer_slowly(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
+    async def answer_slowly(received: ReceivedRequest) -> None:
+        await received.start(EVENTS[0])
         await resume.wait()
-        await call.send_events(*EVENTS[1:])
-        await call.end()
+        await received.send_events(*EVENTS[1:])
+        await received.end()
 
     server = ScriptedServer(answer_slowly)
     async with running_router(server) as router:
@@ -165,35 +165,35 @@
 # Malformed answers of servers.
 
 
-async def send_noise(call: ReceivedRequest) -> None:
-    await call.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
-    await call.wait_closed()
+async def send_noise(received: ReceivedRequest) -> None:
+    await received.wire.stream.send_all(b"\x07\xf1 noise\r\n" * 40)
+    await received.wait_closed()
 
 
-async def send_endless_head(call: ReceivedRequest) -> None:
-    await call.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
-    await call.wait_closed()
+async def send_endless_head(received: ReceivedRequest) -> None:
+    await received.wire.stream.send_all(CHUNKED[:-2] + b"x-more: ")
+    await received.wait_closed()
 
 
-async def send_endless_chunk(call: ReceivedRequest) -> None:
-    await call.wire.stream.send_all(CHUNKED + b"B2D05E00\r\n")
+async def send_endless_chunk(received: ReceivedRequest) -> None:
+    await received.wire.stream.send_all(CHUNKED + b"B2D05E00\r\n")
     while True:
-        await call.wire.stream.send_all(EVENTS[0] * 100)
+        await received.wire.stream.send_all(EVENTS[0] * 100)
 
 
-async def send_noise_as_events(call: ReceivedRequest) -> None:
-    await call.start(b"\xff\x00noise\n\n" + EVENTS[0])
-    await call.wait_closed()
+async def send_noise_as_events(received: ReceivedRequest) -> None:
+    await received.start(b"\xff\x00noise\n\n" + EVENTS[0])
+    await received.wait_closed()
 
 
-async def send_wrong_chunk_size(call: ReceivedRequest) -> None:
-    await call.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
-    await call.wait_closed()
+async def send_wrong_chunk_size(received: ReceivedRequest) -> None:
+    await received.wire.stream.send_all(CHUNKED + b"5\r\n" + EVENTS[0] + b"\r\n")
+    await received.wait_closed()
 
 
-async def send_malformed_chunk_size(call: ReceivedRequest) -> None:
-    await call.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
-    await call.wait_closed()
+async def send_malformed_chunk_size(received: ReceivedRequest) -> None:
+    await received.wire.stream.send_all(CHUNKED + b"zz\r\n" + EVENTS[0] + b"\r\n")
+    await received.wait_closed()
 
 
 MALFORMED_ANSWERS = [
@@ -232,12 +232,12 @@
 ) -> None:
     monkeypatch.setattr(server_client, "EVENT_GAP_TIMEOUT_S", 0.2)
 
-    async def malformed_after_first_event(call: ReceivedRequest) -> None:
-        await call.start(EVENTS[0])
-        real = call.wire.stream
-        call.wire.stream = StreamAfterHead(real)
-        call.wire.send = StreamAfterHead(real).send  # type: ignore[method-assign]
-        await script(call)
+    async def malformed_after_first_event(received: ReceivedRequest) -> None:
+        await received.start(EVENTS[0])
+        real = received.wire.stream
+        received.wire.stream = StreamAfterHead(real)
+        received.wire.send = StreamAfterHead(real).send  # type: ignore[method-assign]
+        await script(received)
 
     class StreamAfterHead:
         """A stream that omits the head, which has been sent already."""
@@ -259,13 +259,13 @@
 
 @trio_test
 async def test_unexpected_bytes_before_or_after_an_answer_are_ignored() -> None:
-    async def answer_with_extra_bytes(call: ReceivedRequest) -> None:
+    async def answer_with_extra_bytes(received: ReceivedRequest) -> None:
         body = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS) + b"0\r\n\r\n"
         informational = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n" * 3
         load = b"Endpoint-Load-Metrics: TEXT \xff\xfe=, queue=-4, errors_per_s=1e99\r\n\r\n"
         other = CHUNKED + b"b\r\ndata: not\n\n\r\n0\r\n\r\n"
-        await call.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
-        await call.wait_closed()
+        await received.wire.stream.send_all(informational + CHUNKED[:-2] + load + body + other)
+        await received.wait_closed()
 
     server = ScriptedServer(answer_with_extra_bytes)
     async with running_router(server) as router:
@@ -277,8 +277,8 @@
 
 @trio_test
 async def test_the_status_of_an_invalid_request_is_forwarded_and_its_server_stays_in_use() -> None:
-    async def bad_request(call: ReceivedRequest) -> None:
-        await call.answer(400, b"no messages")
+    async def bad_request(received: ReceivedRequest) -> None:
+        await received.answer(400, b"no messages")
 
     server = ScriptedServer()
     server.scripts = [bad_request]
@@ -315,9 +315,9 @@
         silent = await trio.open_tcp_stream(host, int(port))
         await all_of(silent)  # the router's SETTINGS, then the end of the stream
         for method in ("ModelInfer", "ModelStreamInfer"):
-            stream = await client.start(method, end=False)
-            client.end.h2.send_data(stream.number, frame_message(grpc_request())[:9])
-            await client.end.flush()
+            stream = await client.start(method, end_stream=False)
+            client.endpoint.h2.send_data(stream.number, frame_message(grpc_request())[:9])
+            await client.endpoint.flush()
             assert await stream.answer() == (Code.DEADLINE_EXCEEDED, [])
 
 
@@ -325,11 +325,11 @@
 async def test_a_repeated_grpc_id_of_an_open_request_and_repeated_metadata_are_errors() -> None:
     resume = trio.Event()
 
-    async def answer_slowly(call: Stream) -> None:
-        await call.start()
-        await call.send(stream_response(1))
+    async def answer_slowly(stream: Stream) -> None:
+        await stream.start()
+        await stream.send(stream_response(1))
         await resume.wait()
-        await call.finish(0)
+        await stream.finish(0)
 
     server = DualProtocolServer(answer_slowly)
     async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
@@ -352,11 +352,11 @@
 async def test_an_incomplete_grpc_message_is_a_failed_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_client, "FIRST_EVENT_TIMEOUT_S", 0.1)
 
-    async def send_incomplete_message(call: Stream) -> None:
-        await call.start()
-        call.end.h2.send_data(call.number, frame_message(stream_response(1))[:-1])
-        await call.end.flush()
-        await call.until(lambda: call.end.closed)
+    async def send_incomplete_message(stream: Stream) -> None:
+        await stream.start()
+        stream.endpoint.h2.send_data(stream.number, frame_message(stream_response(1))[:-1])
+        await stream.endpoint.flush()
+        await stream.wait_until(lambda: stream.endpoint.closed)
 
     servers = [DualProtocolServer(), DualProtocolServer()]
     for server in servers:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -52,8 +52,8 @@
 SAFE = ClientSettings(safe_classes=["alt-text"])
 
 
-async def refuse(call: ReceivedRequest) -> None:
-    await call.answer(503, x_never_ran="1")
+async def refuse(received: ReceivedRequest) -> None:
+    await received.answer(503, x_never_ran="1")
 
 
 def counters(client: Client, *names: str) -> tuple[int, ...]:
@@ -96,8 +96,8 @@
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @on_both
 async def test_the_first_refusal_is_retried_and_the_second_raised(protocol: str) -> None:
-    async def refuse_grpc(call: GrpcStream) -> None:
-        await call.finish(14, x_never_ran="1")
+    async def refuse_grpc(stream: GrpcStream) -> None:
+        await stream.finish(14, x_never_ran="1")
 
     engine = DualProtocolServer()
     engine.script = refuse  # type: ignore[assignment]
@@ -114,13 +114,13 @@
 
 @on_both
 async def test_an_answer_cut_off_after_its_first_event_raises_the_events_received() -> None:
-    async def cut_at_first_event(call: ReceivedRequest) -> None:
-        await call.start(b'data: {"n":1}\n\n')
-        await call.wire.stream.aclose()
+    async def cut_at_first_event(received: ReceivedRequest) -> None:
+        await received.start(b'data: {"n":1}\n\n')
+        await received.wire.stream.aclose()
 
-    async def cut_after_first_event(call: ReceivedRequest) -> None:
-        await call.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
-        await call.wire.stream.aclose()
+    async def cut_after_first_event(received: ReceivedRequest) -> None:
+        await received.start(b'data: {"n":1}\n\n', b'data: {"n":2}\n\n')
+        await received.wire.stream.aclose()
 
     engine = DualProtocolServer()
     engine.scripts = [cut_at_first_event, cut_after_first_event]
@@ -136,9 +136,9 @@
 
 @on_both
 async def test_the_rest_of_a_broken_answer_is_requested_once_after_the_first_attempt_is_closed() -> None:
-    async def cut_after_first_event(call: ReceivedRequest) -> None:
-        await call.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
-        await call.wire.stream.aclose()
+    async def cut_after_first_event(received: ReceivedRequest) -> None:
+        await received.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
+        await received.wire.stream.aclose()
 
     engine = DualProtocolServer()
     engine.scripts = [cut_after_first_event, answer_in_full, cut_after_first_event, cut_after_first_event]
@@ -160,19 +160,19 @@
 async def test_leaving_a_call_cancels_it_at_the_server(protocol: str, waiting: bool) -> None:
     arrived, cancelled = threading.Event(), threading.Event()
 
-    async def hang(call: ReceivedRequest) -> None:
+    async def hang(received: ReceivedRequest) -> None:
         if not waiting:
-            await call.start(b"data: 1\n\n")
+            await received.start(b"data: 1\n\n")
         arrived.set()
-        await call.wait_closed()
+        await received.wait_closed()
         cancelled.set()
 
-    async def hang_grpc(call: GrpcStream) -> None:
+    async def hang_grpc(stream: GrpcStream) -> None:
         if not waiting:
-            await call.start()
-            await call.send(b"\n\x00")
+            await stream.start()
+            await stream.send(b"\n\x00")
         arrived.set()
-        await call.until(lambda: False)
+        await stream.wait_until(lambda: False)
         cancelled.set()
 
     engine = DualProtocolServer(hang_grpc)
@@ -195,9 +195,9 @@
 
 @on_both
 async def test_closing_a_client_raises_client_closed_in_open_calls() -> None:
-    async def hang(call: ReceivedRequest) -> None:
-        await call.start(b"data: 1\n\n")
-        await call.wait_closed()
+    async def hang(received: ReceivedRequest) -> None:
+        await received.start(b"data: 1\n\n")
+        await received.wait_closed()
 
     engine = DualProtocolServer()
     engine.script = hang  # type: ignore[assignment]
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -30,28 +30,28 @@
 from sorreldock.transport.connection import Connection
 
 
-async def refuse_unprocessed(call: Stream) -> None:
-    await call.finish(Code.UNAVAILABLE, x_never_ran="1")
+async def refuse_unprocessed(stream: Stream) -> None:
+    await stream.finish(Code.UNAVAILABLE, x_never_ran="1")
 
 
-async def fail(call: Stream) -> None:
-    await call.finish(Code.INTERNAL, grpc_message="out of memory")
+async def fail(stream: Stream) -> None:
+    await stream.finish(Code.INTERNAL, grpc_message="out of memory")
 
 
-async def hang(call: Stream) -> None:
-    await call.until(lambda: call.end.closed)
+async def hang(stream: Stream) -> None:
+    await stream.wait_until(lambda: stream.endpoint.closed)
 
 
-async def start_and_close(call: Stream) -> None:
-    await call.start()
-    await call.send(stream_response(1))
-    await call.end.stream.aclose()
+async def start_and_close(stream: Stream) -> None:
+    await stream.start()
+    await stream.send(stream_response(1))
+    await stream.endpoint.stream.aclose()
 
 
-async def start_and_hang(call: Stream) -> None:
-    await call.start()
-    await call.send(stream_response(1))
-    await call.until(lambda: call.end.closed)
+async def start_and_hang(stream: Stream) -> None:
+    await stream.start()
+    await stream.send(stream_response(1))
+    await stream.wait_until(lambda: stream.endpoint.closed)
 
 
 @trio_test
@@ -82,27 +82,30 @@
         assert not router.program.core.open_rpcs
     assert statuses["http 200"] == 20
     assert statuses["grpc 0"] + statuses["grpc 14"] == 20 and statuses["grpc 0"] >= 14
-    names = Counter(call.headers["x-trace-id"] for e in servers for call in e.received_requests)
+    names = Counter(received.headers["x-trace-id"] for e in servers for received in e.received_requests)
     assert set(names.values()) == {1}
 
 
 @trio_test
 async def test_a_request_is_forwarded_unchanged() -> None:
-    async def with_metadata(call: Stream) -> None:
-        await call.start()
-        await call.send(stream_response(1))
-        await call.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
+    async def with_metadata(stream: Stream) -> None:
+        await stream.start()
+        await stream.send(stream_response(1))
+        await stream.finish(0, cost="7", endpoint_load_metrics="TEXT errors_per_s=0, backlog=2")
 
     server = DualProtocolServer(with_metadata)
     async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
         message = request(text=b"x" * 200_000)
         stream = await client.start("ModelInfer", message, my_own="kept", grpc_timeout="1500m")
         code, _ = await stream.answer()
-    [call] = server.grpc_streams
+    [server_stream] = server.grpc_streams
     assert stream.trailers == {"grpc-status": "0", "cost": "7"}  # the load report is for the router only
-    assert code == 0 and call.data[5:] == message and call.headers["my-own"] == "kept"
-    assert call.headers[":path"].endswith("/ModelInfer") and "sorreldock-class" not in call.headers
-    assert 1e6 < int(call.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
+    assert code == 0 and server_stream.data[5:] == message and server_stream.headers["my-own"] == "kept"
+    assert (
+        server_stream.headers[":path"].endswith("/ModelInfer")
+        and "sorreldock-class" not in server_stream.headers
+    )
+    assert 1e6 < int(server_stream.headers["grpc-timeout"].removesuffix("u")) < 1.5e6
 
 
 @trio_test
@@ -111,9 +114,9 @@
         running_router(DualProtocolServer(), operator=BOTH_PROTOCOLS) as router,
         grpc_client(router) as client,
     ):
-        stream = await client.start("ModelStreamInfer", request(), end=False)
+        stream = await client.start("ModelStreamInfer", request(), end_stream=False)
         assert len(await stream.messages(2)) == 2
-        await stream.send(request(name="r2"), end=True)
+        await stream.send(request(name="r2"), end_stream=True)
         assert await stream.answer() == (0, [stream_response(1), stream_response(2)] * 2)
 
 
@@ -150,8 +153,8 @@
 
 @trio_test
 async def test_each_invalid_request_gets_its_status() -> None:
-    async def unknown_tensor(call: Stream) -> None:
-        await call.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
+    async def unknown_tensor(stream: Stream) -> None:
+        await stream.finish(Code.INVALID_ARGUMENT, grpc_message="no such tensor")
 
     server = DualProtocolServer(unknown_tensor)
     async with running_router(server, operator=BOTH_PROTOCOLS) as router, grpc_client(router) as client:
@@ -176,12 +179,12 @@
 
 @trio_test
 async def test_the_deadline_applies_until_the_first_message_only() -> None:
-    async def answer_slowly(call: Stream) -> None:
-        await call.start()
-        await call.send(stream_response(1))
+    async def answer_slowly(stream: Stream) -> None:
+        await stream.start()
+        await stream.send(stream_response(1))
         await trio.sleep(0.3)  # longer than the deadline, which no longer applies
-        await call.send(stream_response(2))
-        await call.finish(0)
+        await stream.send(stream_response(2))
+        await stream.finish(0)
 
     server = DualProtocolServer(answer_slowly)
     server.grpc_scripts = [hang]
@@ -200,8 +203,8 @@
         stream = await client.start("ModelStreamInfer", request())
         await stream.messages(1)
         await client.cancel(stream)
-        [call] = server.grpc_streams
-        await call.until(lambda: call.end.closed)
+        [server_stream] = server.grpc_streams
+        await server_stream.wait_until(lambda: server_stream.endpoint.closed)
         while router.program.core.open_rpcs:
             await trio.sleep(0.005)
         server.grpc_script = answer_in_full
@@ -215,7 +218,7 @@
     async with running_router(server, operator=BOTH_PROTOCOLS) as router:
         async with grpc_client(router) as client:
             await (await client.start("ModelStreamInfer", request())).messages(1)
-        await server.grpc_streams[0].until(lambda: server.grpc_streams[0].end.closed)
+        await server.grpc_streams[0].wait_until(lambda: server.grpc_streams[0].endpoint.closed)
 
 
 @trio_test
@@ -235,12 +238,12 @@
     sent = 0
     big = pb.ModelStreamInferResponse(error_message="x" * 50_000).SerializeToString()
 
-    async def flood(call: Stream) -> None:
+    async def flood(stream: Stream) -> None:
         nonlocal sent
-        await call.start()
+        await stream.start()
         for sent in range(1, 201):  # noqa: B007
-            await call.send(big)
-        await call.finish(0)
+            await stream.send(big)
+        await stream.finish(0)
 
     server = DualProtocolServer(flood)
     async with (
@@ -262,23 +265,23 @@
         for _ in range(3):
             assert (await client.call("ModelInfer", request()))[0] == 0
         assert server.connections == 1
-        end = server.grpc_streams[0].end
-        end.h2.close_connection()  # GOAWAY on the idle connection
-        await end.flush()
+        endpoint = server.grpc_streams[0].endpoint
+        endpoint.h2.close_connection()  # GOAWAY on the idle connection
+        await endpoint.flush()
         assert (await client.call("ModelInfer", request()))[0] == 0
         assert server.connections == 2
 
 
 @trio_test
 async def test_a_server_completes_a_stream_after_goaway() -> None:
-    async def send_goaway_within_stream(call: Stream) -> None:
-        await call.start()
-        await call.send(stream_response(1))
-        goaway = GoAwayFrame(0, last_stream_id=call.number).serialize()
-        await call.end.stream.send_all(goaway[:7])  # split, as a network may deliver it
-        await call.end.stream.send_all(goaway[7:])
-        await call.send(stream_response(2))
-        await call.finish(0)
+    async def send_goaway_within_stream(stream: Stream) -> None:
+        await stream.start()
+        await stream.send(stream_response(1))
+        goaway = GoAwayFrame(0, last_stream_id=stream.number).serialize()
+        await stream.endpoint.stream.send_all(goaway[:7])  # split, as a network may deliver it
+        await stream.endpoint.stream.send_all(goaway[7:])
+        await stream.send(stream_response(2))
+        await stream.finish(0)
 
     server = DualProtocolServer()
     server.grpc_scripts = [send_goaway_within_stream]
@@ -293,9 +296,9 @@
 
 @trio_test
 async def test_a_refused_stream_was_not_processed_and_is_retried_elsewhere() -> None:
-    async def refuse(call: Stream) -> None:
-        call.end.h2.reset_stream(call.number, 7)  # REFUSED_STREAM
-        await call.end.flush()
+    async def refuse(stream: Stream) -> None:
+        stream.endpoint.h2.reset_stream(stream.number, 7)  # REFUSED_STREAM
+        await stream.endpoint.flush()
 
     servers = DualProtocolServer(), DualProtocolServer()
     for server in servers:
@@ -349,11 +352,11 @@
 async def test_sigterm_sends_goaway_and_open_streams_complete() -> None:
     finish = trio.Event()
 
-    async def finish_later(call: Stream) -> None:
-        await call.start()
-        await call.send(stream_response(1))
+    async def finish_later(stream: Stream) -> None:
+        await stream.start()
+        await stream.send(stream_response(1))
         await finish.wait()
-        await call.finish(0)
+        await stream.finish(0)
 
     async with (
         running_router(DualProtocolServer(finish_later), operator=BOTH_PROTOCOLS) as router,
@@ -364,7 +367,7 @@
         router.program.lifecycle.stop_requested.set()
         while router.program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
-        assert client.end.goaway_received
+        assert client.endpoint.goaway_received
         finish.set()
         assert await stream.answer() == (0, [stream_response(1)])
 
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -309,8 +309,8 @@
 
     async def wait_for_close(stream: Stream) -> None:
         started.set()
-        while not stream.end.closed and stream.reset is None:
-            await stream.end.changed.wait()
+        while not stream.endpoint.closed and stream.reset is None:
+            await stream.endpoint.changed.wait()
         closed.set()
 
     server = DualProtocolServer()
@@ -319,9 +319,9 @@
         running_router(server, operator=BOTH_PROTOCOLS) as router,
         grpc_client(router, reads=False) as client,
     ):
-        client.end.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
-        client.end.h2.update_settings({4: 2**30})  # room for all that the server sends
-        client.end.h2.increment_flow_control_window(2**30)
+        client.endpoint.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # type: ignore[attr-defined]
+        client.endpoint.h2.update_settings({4: 2**30})  # room for all that the server sends
+        client.endpoint.h2.increment_flow_control_window(2**30)
         await client.start("ModelStreamInfer", grpc_request())
         [connection] = router.program.fronts["kserve"].clients
         while len(connection.wire._pending) <= connection.wire.MAX_PENDING_BYTES:
@@ -341,8 +341,8 @@
 
     async def wait_for_close(stream: Stream) -> None:
         started.set()
-        while not stream.end.closed:
-            await stream.end.changed.wait()
+        while not stream.endpoint.closed:
+            await stream.endpoint.changed.wait()
 
     async with (
         running_router(DualProtocolServer(wait_for_close), operator=BOTH_PROTOCOLS) as router,
@@ -353,7 +353,7 @@
         [connection] = router.program.fronts["kserve"].clients
         [stream] = connection.streams.values()
         assert not stream.has_client_left()
-        client.end.stream.socket.close()  # type: ignore[attr-defined]
+        client.endpoint.stream.socket.close()  # type: ignore[attr-defined]
         assert (
             stream.has_client_left() and connection.streams
         )  # no task has run since the close, so its reader hasn't noticed it
