--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -230,9 +230,8 @@
                 now, latest, sum(pool.dialling.values()), pool.has_live_connection(router.address)
             )
             if at is None and now < latest and any(pool.has_live_connection(a) for a in picker.routers):
-                await pool.wait_for_change(
-                    latest
-                )  # no dial in time, but another call may free its connection
+                # No dial in time is possible, but another call may release its connection.
+                await pool.wait_for_change(latest)
                 continue
             if at is None:
                 cause = (
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -30,11 +30,11 @@
     from .console import Console
     from .takeover import Takeover
 
-FIRST_LIST_TIMEOUT_S = 1.0  # where lists are pushed: longest wait for the first one before serving
+FIRST_LIST_TIMEOUT_S = 1.0  # to wait for the first list before serving, where lists are pushed
 # SIGKILL may follow SIGTERM after the longest deadline and 0.7 s, and would cut off requests that came later
 # than this. They are refused, so that their clients can go to another router.
 ACCEPT_AFTER_STOP_S = 0.65
-LINGER_S = 0.5  # clients still connect for so long after SIGTERM, and are accepted
+LINGER_S = 0.5  # clients still connect for this long after SIGTERM, and are accepted
 TRIM_INTERVAL_S = 5.0
 # Bounds that keep the process below its memory limit. The program itself takes about PROGRAM_MB; of the rest,
 # two fifths may be payloads, on both fronts together. The remainder is for connections and for what open RPCs
@@ -43,11 +43,11 @@
 PAYLOAD_SHARE = 0.4
 MIN_PAYLOAD_MB, MAX_PAYLOAD_MB = 2, 40
 OPEN_RPCS_PER_MB, MIN_OPEN_RPCS = 4, 64
-# A server accepts a few hundred connections from all routers together; so many of them may be idle.
+# A server accepts a few hundred connections from all routers together; at most this many may be idle.
 IDLE_CONNECTIONS_PER_SERVER, MIN_IDLE_CONNECTIONS = 240, 4
 LIST_MEMORY_DIVISOR = 32  # the memory divided by this is the maximum size of a list
-DRAIN_S = 60.0  # then open streams are cut off, so that a client that reads slowly can't delay the exit
-CONNECTIONS_CLOSE_TIMEOUT_S = 2.0  # once all answers are written
+DRAIN_S = 60.0  # after it open streams are cut off, so that a slow reader can't delay the exit
+CONNECTIONS_CLOSE_TIMEOUT_S = 2.0  # for connections to end once all answers are written
 
 
 def payload_bytes(memory_mb: int) -> int:
@@ -256,7 +256,7 @@
             self.system.pid,
             self._apply_memory_limits,
         )
-        await self.takeover.follow()
+        await self.takeover.take_over()
         adopt = connection_adopter(self.listeners["http"], self.fronts["http"], self.budget, self._nursery)
         self._nursery.start_soon(self.takeover.run, self._nursery, adopt)
 
--- a/sorreldock/program/takeover.py
+++ b/sorreldock/program/takeover.py
@@ -146,15 +146,14 @@
         self._predecessor: Link | None = None
         self._leaving = False
         self._socket_file_id = (0, 0)  # device and inode of this process's socket file
-        self._leaving_limit = (
-            1 << 30
-        )  # once this process leaves: its maximum of descriptors, which only falls
+        # The maximum of descriptors once this process leaves; it never rises again.
+        self._leaving_limit = 1 << 30
         self._front: Front[Any] | None = None
 
     # As the successor.
 
-    async def follow(self) -> None:
-        """Receive the predecessor's state; after any failure this process works alone."""
+    async def take_over(self) -> None:
+        """Receive the predecessor's state; after any failure this process starts without it."""
         if not os.path.exists(self._path):
             return
         link = Link(trio.socket.socket(socket.AF_UNIX))
@@ -169,13 +168,15 @@
                     self._restore(record)
                     self._predecessor = link
                     self.add_link(link)
-                    self._log("notice", "TAKEOVER", "follows a process that serves", pid=record.get("pid"))
+                    self._log(
+                        "notice", "TAKEOVER", "took over the predecessor's state", pid=record.get("pid")
+                    )
                     return
-            # For example, the socket file of a dead process or an incompatible build.
+            # For example, a stale socket file or an incompatible build.
             except (OSError, PeerProtocolError, ListError) as error:
                 fault = str(error)
         link.close()
-        self._log("notice", "TAKEOVER", "no process to follow, working alone", reason=fault)
+        self._log("notice", "TAKEOVER", "no state taken over from a predecessor process", reason=fault)
 
     def _restore(self, state: dict[str, Any]) -> None:
         """Apply the predecessor's list and what its gateway has learned."""
@@ -193,7 +194,7 @@
         try:
             listener = await self._listen()
         except OSError as error:
-            self._log("err", "TAKEOVER", "no process can follow this one", reason=error)
+            self._log("err", "TAKEOVER", "cannot listen for a successor process", reason=error)
             return
         slots = trio.CapacityLimiter(MAX_CALLERS)
         try:
@@ -213,8 +214,8 @@
     async def _listen(self) -> trio.socket.SocketType:
         """Listen on the socket's path.
 
-        The file is bound under a temporary name and then renamed, over the predecessor's or a dead process's
-        file, so that the path is always that of a listening socket.
+        The file is bound under a temporary name and then renamed, over the predecessor's file or a stale
+        one, so that the path is always that of a listening socket.
         """
         listener = trio.socket.socket(socket.AF_UNIX)
         temporary_path = f"{self._path}.{self._pid}"
@@ -259,9 +260,10 @@
             state: dict[str, Any] = {"version": handover.VERSION, "pid": self._pid, "list": listing}
             self._successor = link
             if not await link.send("state", None, **state, learned=self._core.snapshot()):
-                await link.send("state", None, **state)  # with what is learned the record was too long
+                # The record with the learned state was too long.
+                await link.send("state", None, **state)
             self.add_link(link)
-            self._log("notice", "TAKEOVER", "another process follows", pid=record.get("pid"))
+            self._log("notice", "TAKEOVER", "passed the state to a successor process", pid=record.get("pid"))
             await self._run_link(link, None)
         except PeerProtocolError as error:
             self._log("notice", "TAKEOVER", "rejected a caller that is not a successor", reason=error)
@@ -325,7 +327,7 @@
             own_share = handover.descriptor_share(
                 usable, own_used, self._leaving, used_by_peers, peers_leaving
             )
-            if self._leaving:  # what it has released is the successor's
+            if self._leaving:  # descriptors that it has released belong to the successor
                 own_share = self._leaving_limit = min(own_share, self._leaving_limit)
             self._budget.set_portion(own_share, self._leaving)
             if not self._leaving:
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -16,22 +16,22 @@
 from ..transport.connection import Connection
 
 MAX_BODY_BYTES = 256 * 1024  # of a request body or a message
-# Time limits for clients. A truncated request is recognized by the silence after it: a slow link delivers
-# late but keeps delivering, so a body that still arrives gets a long time.
+# Time limits for clients. A truncated request is recognized by the pause after it: a slow link delivers late
+# but continuously, so a body that still arrives gets a long time.
 # From accepting the connection, or the first byte of a later request, to the end of the request's head.
 HEAD_TIMEOUT_S = 2.5
-STALL_TIMEOUT_S = 2.0  # without a received byte, within a request
-BODY_TIMEOUT_S = 30.0
+STALL_TIMEOUT_S = 2.0  # between the received bytes of a request
+BODY_TIMEOUT_S = 30.0  # for the whole body
 WRITE_TIMEOUT_S = 15.0  # a client that reads nothing for this long counts as disconnected
 LINGERING_CLOSE_TIMEOUT_S = 5.0  # for discarding what a client still sends; enough for 60 MB in transit
 LINGERING_CLOSE_QUIET_S = 1.0  # after this time without a byte no more are expected
-DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte or call of a new client while draining
+DRAINING_FIRST_BYTE_TIMEOUT_S = 1.0  # for the first byte or stream of a new client while draining
 CLOSE_POLL_S = 0.01
 MAX_EVICTED_AT_ONCE = 8  # connections closed in one step, if their time limits have passed
 
 
 class FrontConnection(Protocol):
-    """The actor of one client connection, as its front sees it."""
+    """The interface of a client connection's actor to its front."""
 
     has_sent_request: bool  # whether the client has ever sent a request
     reserved_bytes: int  # of the payload budget, for the received part of a request
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -42,7 +42,7 @@
         return not self.connection.is_stale
 
     async def next_event(self) -> h11.Event:
-        """Return the next event of the answer; ServerProtocolError for invalid HTTP."""
+        """Return the next event of the answer; raise ServerProtocolError for invalid HTTP."""
         while True:
             try:
                 event = self.parser.next_event()
@@ -80,7 +80,7 @@
         await self.connection.send(*parts)
 
     async def read_short_body(self) -> bytes:
-        """Return the body of an answer that is expected to be short."""
+        """Return the body of an answer that is expected to be short; raise ConnectionLost if it is not."""
         parts = []
         while not isinstance(event := await self.next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
--- a/sorreldock/protocol/http/discovery.py
+++ b/sorreldock/protocol/http/discovery.py
@@ -22,8 +22,8 @@
     "Terminating": ReplicaState.DRAINING,
     "Gone": ReplicaState.GONE,
 }
-MAX_LIST_BYTES = 4 * 1024 * 1024  # the default limit
-TARGETS_PER_SLICE = 200  # decoded before other tasks run
+MAX_LIST_BYTES = 4 * 1024 * 1024  # if the program sets no other limit
+TARGETS_PER_SLICE = 200  # decoded at a time, before other tasks run
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -32,7 +32,7 @@
 
 
 def decode_target(raw: Any) -> Target:
-    """Decode an entry of a list; ListError says what is wrong."""
+    """Decode an entry of a list; raise ListError if it is malformed."""
     try:
         target = Target(
             uid=str(raw["uid"]),
@@ -52,13 +52,16 @@
 
 
 def decode_result(raw: Any, kind: ListKind | None = None) -> ResolverResult:
-    """Decode a list or a change to it; ListError says what is wrong."""
+    """Decode a list or a change to it; raise ListError if it is malformed."""
     version = decode_version(raw)
     return _result(raw, version, map(decode_target, raw["targets"]), kind)
 
 
 async def decode_in_slices(raw: Any) -> ResolverResult:
-    """Decode a list or a change to it in slices, between which other tasks run: it may hold thousands."""
+    """Decode a list or a change to it in slices, between which other tasks run.
+
+    A list may hold thousands of entries. Raises ListError if it is malformed.
+    """
     version = decode_version(raw)
     targets: list[Target] = []
     for first in range(0, len(raw["targets"]), TARGETS_PER_SLICE):
@@ -76,7 +79,7 @@
 
 
 def decode_version(raw: Any) -> int:
-    """Return the version of a list; ListError if it does not have the format of a list."""
+    """Return the version of a list; raise ListError if it does not have the format of a list."""
     if not isinstance(raw, dict) or not isinstance(raw.get("targets"), list):
         raise ListError("the list is not an object with targets")
     try:
@@ -122,7 +125,7 @@
         self.heartbeats = 0  # complete objects and empty lines so far
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Yield the objects that the data completes; ListError for invalid or oversized ones."""
+        """Yield the objects that the data completes; raise ListError for invalid or oversized ones."""
         for line in self._complete_lines(data):
             if self._depth == 0:
                 if not (line := line.strip()):
@@ -219,7 +222,7 @@
         return self._version
 
     def start_from(self, version: int) -> None:
-        """Use the version that another process of this router knows, if it is newer."""
+        """Watch from the list version of a peer process, if it is newer than the known one."""
         self._version = max(version, self._version)
 
     def change_address(self, address: str) -> None:
--- a/sorreldock/protocol/http/fields.py
+++ b/sorreldock/protocol/http/fields.py
@@ -11,7 +11,7 @@
 SERVED_PATH = "/v1/chat/completions"
 EXPIRES_IN_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")
 UNITS_S = {"m": 1e-3, "u": 1e-6}
-MAX_FIELD_LENGTH = 200  # characters
+MAX_FIELD_LENGTH = 200  # in characters
 MAX_EXPIRES_IN_S = 3600.0
 # The fields that the router uses or sets itself.
 ROUTER_FIELDS = {
@@ -27,8 +27,6 @@
     b"transfer-encoding",
     b"host",
 }
-
-
 # Fields that apply to one connection only, as do those named in `connection` (RFC 9110, section 7.6.1).
 HOP_BY_HOP = {
     b"connection",
--- a/sorreldock/protocol/http/freshness.py
+++ b/sorreldock/protocol/http/freshness.py
@@ -1,24 +1,24 @@
 """The schedule of the watch on the server list: timeouts and pauses between calls, without I/O or randomness.
 
-The platform assumes that a router knows a change within a fixed time after discovery has it and is reachable,
-whatever calls failed before. So the duration of one failed call, the pause after it and the answer to the
-next call must add up to less than that time. Within this limit the pauses are long and spread: the whole
-fleet shares one discovery, which answers calls in turn and spends as much time on a call that has waited too
-long as on one that it answers. Each process therefore calls in its own slots, at a phase of every period that
-is drawn once. Pauses drawn anew for each call averaged 0.6 periods and caused congestion whenever discovery
-came back.
+The platform assumes that a router has received a change within a fixed time after discovery has it and is
+reachable, whatever calls failed before. So the duration of one failed call, the pause after it and the answer
+to the next call must add up to less than that time. Within this limit the pauses are long and spread: the
+whole fleet shares one discovery, which answers calls in turn and spends as much time on a call that has waited
+too long as on one that it answers. Each process therefore calls in its own slots, at a phase of every period
+that is drawn once. Pauses drawn anew for each call averaged 0.6 periods and caused congestion whenever
+discovery came back.
 """
 
 from __future__ import annotations
 
 import math
 
-# The time in which the router must know a change, and the shorter one after a change of the discovery
-# address.
+# The time within which the router must have received a change, and the shorter one after a change of the
+# discovery address.
 MAX_AGE_S, MOVED_MAX_AGE_S = 6.0, 4.0
 HEARTBEAT_TIMEOUT_S = 2.7  # discovery sends a list or an empty line every 2 s
 ANSWER_S = 2.0  # discovery answers calls in turn and drops a call after this time
-ANSWER_TIMEOUT_S = 3.1  # some are dropped a little later
+ANSWER_TIMEOUT_S = 3.1  # longer than `ANSWER_S`, since discovery drops some calls a little later
 CONNECT_TIMEOUT_S = 1.0
 SLACK_S = 0.4  # for the network, decoding the list and the decision module's next batch
 MIN_PAUSE_S = 0.1
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -20,7 +20,7 @@
 # The limit on buffered bytes of pipelined requests: one of the largest. Further ones are read and discarded,
 # since the client's close can only be detected after them; the first of them gets a 503.
 MAX_PIPELINED_BYTES = limits.MAX_BODY_BYTES + MAX_HEAD_BYTES
-MIN_EXPIRES_IN_S = 0.001  # for a request whose deadline has passed already: the decision module fails it
+MIN_EXPIRES_IN_S = 0.001  # for a request whose deadline has passed; the decision module then fails it
 IDLE_TIMEOUT_S = 5.0  # between requests; the platform requires 2 s, and clients reconnect after a close
 CLOSE = (b"connection", b"close")
 STREAM_HEAD = [(b"content-type", b"text/event-stream"), (b"cache-control", b"no-cache")]
@@ -112,9 +112,11 @@
     # Reading requests and writing answers.
 
     def encode(self, event: h11.Event) -> bytes:
+        """Return the bytes of an event of the answer; raise LocalProtocolError if it is out of order."""
         return self.parser.send(event) or b""
 
     async def write(self, data: bytes) -> None:
+        """Write data; raise ConnectionLost if the connection fails or the client does not read in time."""
         with trio.move_on_after(limits.WRITE_TIMEOUT_S) as scope:
             await self.connection.send(data)
         if scope.cancelled_caught:  # frees memory and servers from a client that never reads
@@ -373,7 +375,7 @@
         self.parser.receive_data(data)
 
     async def write_final_answer(self) -> None:
-        """Write the final answer, or what is left of it."""
+        """Write the final answer of the RPC, or the rest of it if it has begun."""
         final = self.final
         assert final is not None
         if isinstance(final.server_status, int):  # the server's own answer to an invalid request
@@ -400,9 +402,8 @@
             raise ConnectionLost("an answer has already begun")
         body = text.encode() + b"\n"
         head = [(b"content-type", b"text/plain"), (b"content-length", str(len(body)).encode()), *headers]
-        if (
-            self.parser.their_state is h11.SEND_BODY and CLOSE not in headers
-        ):  # the rest of its body will not be read
+        # The rest of the body of this request will not be read.
+        if self.parser.their_state is h11.SEND_BODY and CLOSE not in headers:
             headers, head = (*headers, CLOSE), [*head, CLOSE]
         if CLOSE not in headers:
             head += self.connection_fields()
--- a/sorreldock/protocol/kserve/call.py
+++ b/sorreldock/protocol/kserve/call.py
@@ -71,10 +71,12 @@
     # The interface for the connection.
 
     def notify(self) -> None:
+        """Wake the stream's task after a change of its state."""
         self.changed.set()
         self.changed = trio.Event()
 
     def feed(self, data: bytes, length: int) -> None:
+        """Add received data; `length` is its size for flow control, with padding."""
         self.unacknowledged_bytes += length
         if self.client.front.payloads.acquire(len(data)):
             self.reserved_bytes += len(data)
@@ -84,6 +86,7 @@
         self.notify()
 
     def release_payload(self) -> None:
+        """Release the payload budget of the received messages."""
         self.client.front.payloads.release(self.reserved_bytes)
         self.reserved_bytes = 0
 
@@ -111,6 +114,7 @@
             raise ConnectionLost("the client reads nothing")
 
     def abort(self, code: h2.errors.ErrorCodes) -> None:
+        """Reset the stream with an error code, unless it has been reset before."""
         if not self.reset:
             self.reset = True
             self.client.wire.h2.reset_stream(self.number, code)
@@ -167,7 +171,7 @@
         if not self.head_sent:
             fields = [*RESPONSE_HEADERS, *fields]
         wire.h2.send_headers(self.number, fields, end_stream=True)
-        if not self.ended:  # tell the client not to send the rest of its request
+        if not self.ended:  # signals to the client not to send the rest of its request
             wire.h2.reset_stream(self.number, h2.errors.ErrorCodes.NO_ERROR)
         await wire.flush()
 
@@ -231,7 +235,7 @@
         if error is not None:
             raise error
         if isinstance(self.final.server_status, GrpcError):
-            # Of the last answer if the stream carries several.
+            # If the stream carries several answers, the last one's metadata is sent.
             self.trailing_metadata = self.final.server_status.metadata
 
 
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -1,4 +1,4 @@
-"""Attempts and probes on servers that speak KServe v2 over gRPC, with one stream at a time per connection."""
+"""Attempts and probes at servers over KServe v2 and gRPC, with one stream at a time on each connection."""
 
 from __future__ import annotations
 
@@ -135,9 +135,11 @@
             await self.step()
 
     def status(self) -> tuple[int, str]:
+        """Return the status code and message of the answer."""
         return status_of(dict(self.trailers))
 
     def load(self) -> dict[Metric, float]:
+        """Return the load report in the trailers or, without one there, in the headers."""
         text = dict(self.trailers).get(LOAD_METADATA) or self.headers.get(LOAD_METADATA, "")
         return parse_load(text)
 
@@ -165,6 +167,7 @@
         return not self.goaway_received and not self.connection.unread
 
     def open_exchange(self, method: str, authority: str, timeout_s: float, metadata: Headers) -> Exchange:
+        """Open a stream and queue its request headers; the caller sends the message."""
         number = self.wire.h2.get_next_available_stream_id()
         headers = [
             (":method", "POST"),
@@ -181,7 +184,7 @@
 
 
 class KserveServerClient(PooledServerClient[ServerConnection, Exchange]):
-    """Attempts and probes on one server over gRPC."""
+    """Attempts and probes at one server over gRPC."""
 
     def __init__(
         self,
--- a/sorreldock/protocol/kserve/connection.py
+++ b/sorreldock/protocol/kserve/connection.py
@@ -1,4 +1,4 @@
-"""The task that serves one gRPC client connection."""
+"""The gRPC connections of clients."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from .front import KserveFront
 
 MAX_STREAMS = 64  # concurrently on a connection
-PING_S = 10.0  # to wait for the reply to a keepalive ping
-IDLE_S = 60.0
+PING_TIMEOUT_S = 10.0  # to wait for the reply to a keepalive ping
+IDLE_TIMEOUT_S = 60.0
 
 
 class ClientConnection:
-    """One client connection, the only reader of its wire, and its streams."""
+    """The actor of one client connection, which alone reads from its wire, with its streams."""
 
     reserved_bytes = 0  # each stream reserves its own; a connection with streams is in the stage ANSWERING
 
@@ -85,7 +85,7 @@
             self.should_close.set()
 
     async def close_when_written(self) -> None:
-        """Close the connection once it is to end and the last status has been written."""
+        """Close the connection once `should_close` is set and the last status has been written."""
         await self.should_close.wait()
         with trio.move_on_after(1.0):
             await self.wire.flush()
@@ -109,9 +109,10 @@
                         )
                     nursery.cancel_scope.cancel()
         except* (ConnectionLost, h2.exceptions.ProtocolError):
-            pass  # the client has closed, or doesn't speak HTTP/2
+            pass  # the client has closed the connection, or does not use HTTP/2
 
     async def read(self, nursery: trio.Nursery) -> None:
+        """Handle what the client sends until the connection ends; `nursery` runs its streams."""
         await self.wire.flush()
         while True:
             try:
@@ -136,9 +137,9 @@
             case h2.events.RequestReceived():
                 assert event.stream_id is not None and event.headers is not None
                 if self.final_goaway_sent or (self.goaway_sent and not self.front.accepting):
-                    # Our GOAWAY excluded this stream, so the client may send it elsewhere. If the client has
-                    # reset it in the same read, there is nothing to refuse, and the error must not end the
-                    # other streams of the connection.
+                    # The GOAWAY excluded this stream, so the client may send the request elsewhere. If the
+                    # client has reset it in the same read, there is nothing to refuse, and the error must
+                    # not end the other streams of the connection.
                     with suppress(h2.exceptions.StreamClosedError):
                         self.wire.h2.reset_stream(event.stream_id, h2.errors.ErrorCodes.REFUSED_STREAM)
                     return
@@ -163,7 +164,7 @@
                     ended.notify()
             case h2.events.StreamReset():
                 cancelled = self.streams.get(event.stream_id or 0)
-                if cancelled is not None:  # cancelled by the client, which the decision module is notified of
+                if cancelled is not None:  # by the client; the end of the stream's task cancels the RPC
                     cancelled.reset = True
                     cancelled.scope.cancel()
             case _:
@@ -190,7 +191,7 @@
             await trio.sleep(interval)
             if self.streams:
                 idle_since = trio.current_time()
-            elif trio.current_time() - idle_since >= IDLE_S:
+            elif trio.current_time() - idle_since >= IDLE_TIMEOUT_S:
                 self.send_goaway()
                 self.should_close.set()
             if trio.current_time() - self.last_received_at < interval:
@@ -198,7 +199,7 @@
             pinged_at = trio.current_time()
             self.wire.h2.ping(b"sorrel!!")
             await self.wire.flush()
-            await trio.sleep(min(PING_S, interval))
+            await trio.sleep(min(PING_TIMEOUT_S, interval))
             if self.last_received_at < pinged_at:
                 raise ConnectionLost("no reply to a ping")
 
--- a/sorreldock/protocol/kserve/front.py
+++ b/sorreldock/protocol/kserve/front.py
@@ -1,4 +1,4 @@
-"""The front for KServe v2 over gRPC. Each stream carries one RPC, or several one after the other."""
+"""The front for KServe v2 over gRPC, where each stream carries one RPC or several in turn."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class KserveFront(Front[ClientConnection]):
-    """The client connections that speak gRPC."""
+    """The front for KServe v2 over gRPC."""
 
     def __init__(
         self,
--- a/sorreldock/protocol/loads.py
+++ b/sorreldock/protocol/loads.py
@@ -7,7 +7,7 @@
 from ..interface import Metric
 
 LOAD_REPORT_HEADER = "Endpoint-Load-Metrics"
-MAX_VALUE = 1e6  # no metric of a server is larger, in the units of the settings
+MAX_VALUE = 1e6  # no valid metric of a server is larger, in the units of the settings
 METRICS_BY_NAME = {
     "inflight": Metric.IN_FLIGHT,
     "outstanding": Metric.IN_FLIGHT,
@@ -49,7 +49,7 @@
             number = float(value)
         except (ValueError, OverflowError):
             continue
-        # Neither NaN nor a value so large that it would outweigh all earlier reports in the averages.
+        # Excludes NaN, and values that would outweigh all earlier reports in the averages.
         if 0 <= number <= MAX_VALUE:
             load[metric] = number
     return load
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -13,7 +13,7 @@
 from ..transport.pool import ConnectionPool, PooledConnection
 
 # The time without an event after which a response stream counts as broken. Without it clients would wait for
-# ever for a machine that vanished, since such a machine sends no reset. Longer than a slow server's pauses
+# ever for a server whose machine has failed, since it sends no reset. Longer than a slow server's pauses
 # between events, shorter than the 5 s that the platform allows.
 EVENT_GAP_TIMEOUT_S = 3.5
 PROBE_TIMEOUT_S = 0.25
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -34,9 +34,8 @@
     server.scripts.append(answer_twice)
     async with running_router(server) as router:
         assert (await router.post(x_trace_id="t0")).whole
-        answer = await router.post(
-            x_trace_id="t1"
-        )  # at once: the first connection has not been idle long enough
+        # The first connection has not been idle long enough to be used again.
+        answer = await router.post(x_trace_id="t1")
         assert answer.body == b"".join(EVENTS) and server.connections == 2
         send_duplicate.set()
         for n in range(2, 6):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -276,9 +276,8 @@
     assert (header(first, "X-Second-Try"), header(second, "X-Second-Try")) == ("", "1")
     assert header(first, "X-Trace-Id") != header(second, "X-Trace-Id")
     remaining_s = [int(header(head, "X-Expires-In").removesuffix("u")) / 1e6 for head in stub.heads]
-    assert (
-        1.5 < remaining_s[0] < 2.0 and remaining_s[1] <= remaining_s[0] - 0.3
-    )  # both attempts share one deadline
+    # Both attempts share one deadline.
+    assert 1.5 < remaining_s[0] < 2.0 and remaining_s[1] <= remaining_s[0] - 0.3
     assert stub.times[1] - stub.times[0] >= 0.3  # never before the advised moment
 
 
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -192,9 +192,8 @@
         at = gate.next_dial_time(0.0, 30.0, 0, False)
         assert at is not None and at > 0
         dial_times.append(at)
-        assert (
-            gate.connection_lost(0.1, rng.random(), idle=True) is None
-        )  # the losses of one deploy start one backoff
+        # The losses of one deploy start one backoff.
+        assert gate.connection_lost(0.1, rng.random(), idle=True) is None
     dial_times.sort()
     assert dial_times[1900] - dial_times[100] > 3.5
     assert max(sum(t <= x < t + 0.1 for x in dial_times) for t in dial_times) < 2000 / 10
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -354,9 +354,8 @@
             data += more
             if data.endswith(b"\r\n0\r\n\r\n"):
                 with suppress(trio.BrokenResourceError):
-                    await connection.stream.send_all(
-                        raw(x_trace_id=b"late")
-                    )  # sent while the router closes the connection
+                    # Sent while the router closes the connection.
+                    await connection.stream.send_all(raw(x_trace_id=b"late"))
     assert data.count(b"\r\n0\r\n\r\n") == 2 and data.count(b"connection: close") == 1
     assert [request.headers["x-trace-id"] for request in server.received_requests] == ["taken", "ahead"]
 
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -311,7 +311,7 @@
 
 @trio_test
 async def test_a_client_that_answers_no_ping_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(kserve_connection, "PING_S", 0.05)
+    monkeypatch.setattr(kserve_connection, "PING_TIMEOUT_S", 0.05)
     operator = BOTH_PROTOCOLS.__class__(
         kserve=BOTH_PROTOCOLS.kserve.__class__("127.0.0.1:0", ("desc",), "", "", 0.05),  # type: ignore[union-attr]
         server_protocols=("http", "kserve"),
--- a/tests/test_shutdown_and_cancellation.py
+++ b/tests/test_shutdown_and_cancellation.py
@@ -354,9 +354,8 @@
         [stream] = connection.streams.values()
         assert not stream.has_client_left()
         client.endpoint.stream.socket.close()  # type: ignore[attr-defined]
-        assert (
-            stream.has_client_left() and connection.streams
-        )  # no task has run since the close, so its reader hasn't noticed it
+        # No task has run since the close, so the connection's reader has not noticed it.
+        assert stream.has_client_left() and connection.streams
 
 
 @trio_test
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -114,7 +114,7 @@
         [head, _] = post_events("half")
         await partial_request.stream.send_all((partial_request.parser.send(head) or b"")[:40])
         second, log = await platform.start()
-        assert b"follows a process that serves" in log
+        assert b"took over the predecessor's state" in log
         first.send_signal(signal.SIGTERM)
         await read_log_until(first, b"", b" draining")
         finish.set()
@@ -163,10 +163,10 @@
             listener.listen(1)
             nursery.start_soon(answer_as_predecessor)
         first, log = await platform.start()
-        assert b"working alone" in log
+        assert b"no state taken over from a predecessor process" in log
         await assert_served(await platform.connect(), "alone")
         second, log = await platform.start()  # and it can have a successor itself
-        assert b"follows a process that serves" in log
+        assert b"took over the predecessor's state" in log
         first.kill()  # the successor survives its predecessor's crash
         await read_log_until(second, b"", b"the connection to the peer process has ended")
         await assert_served(await platform.connect(), "after")
