--- a/sorreldock/kserve/framing.py
+++ b/sorreldock/kserve/framing.py
@@ -44,6 +44,7 @@
 
 
 def trailers(code: int, message: str = "", metadata: Iterable[tuple[str, str]] = ()) -> Headers:
+    """Return the trailers of a status, with the message percent-encoded (PROTOCOL-HTTP2)."""
     fields = [("grpc-status", str(int(code)))]
     if message:
         fields.append(("grpc-message", quote(message, safe=" !\"#$&'()*+,-./:;<=>?@[\\]^_`{|}~")))
@@ -88,6 +89,7 @@
         return bool(self._data)
 
     def feed(self, data: bytes) -> None:
+        """Append data of the stream."""
         self._data += data
 
     def next(self) -> bytes | None:
--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -55,7 +55,7 @@
 
 
 def _pool_resends() -> list[Patch]:
-    call = PooledServerClient.call
+    call = PooledServerClient.run_attempt
 
     async def again(self: Any, rpc: Any, progress: Any) -> Any:
         report = await call(self, rpc, progress)
@@ -63,7 +63,7 @@
             return await call(self, rpc, progress)
         return report
 
-    return [(PooledServerClient, "call", again)]
+    return [(PooledServerClient, "run_attempt", again)]
 
 
 def _sends_after_drain() -> list[Patch]:
--- a/sorreldock/policy/draw.py
+++ b/sorreldock/policy/draw.py
@@ -1,4 +1,4 @@
-"""The draw: which replica a key maps to, the same at every gateway that knows the same replicas.
+"""The draw: which replica a key maps to, the same at every gateway that has the same list.
 
 Among few replicas each draws a straw, ln(u)/w, and the longest wins (straw2 of CRUSH). That costs a hash
 for each replica, so among many the key probes a table of slots instead: each replica is in the slot that its
@@ -22,12 +22,12 @@
 ROUND_STEP = 0xD1342543DE82EF95
 PROBE_STEP = 0x9E3779B97F4A7C15
 MAX_STRAW_REPLICAS = 256
-SLOT_BITS = 13
+SLOT_BITS = 13  # 8192 slots
 SLOT_MASK = (1 << SLOT_BITS) - 1
 CHANCE_BITS = 32
 # In full weights: a slot with more weight counts as this much, which is rare up to 10,000 replicas.
 MAX_SLOT_WEIGHT = 4.0
-MAX_PROBES = 4096  # exceeded with weights of very unequal size; the straws then decide
+MAX_PROBES = 4096  # exceeded with weights of very unequal size; straws are then drawn instead
 
 
 def straw_length(key: int, replica: Replica) -> float:
--- a/sorreldock/policy/replica.py
+++ b/sorreldock/policy/replica.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of one replica."""
+"""A gateway's record of one replica."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Replica:
-    """What this gateway knows of one replica; times are seconds of the gateway's clock."""
+    """The record of one replica; times are seconds of the gateway's clock."""
 
     def __init__(self, entry: ReplicaEntry) -> None:
         self.groups: tuple[Group, ...] = ()
@@ -37,7 +37,7 @@
         self.reset_learned()
 
     def reset_learned(self) -> None:
-        """Drop everything that was learned about the previous server process."""
+        """Discard everything that was learned about the previous server process."""
         self.ejected_until = self.first_token_at = self.load_reported_at = self.probed_at = -math.inf
         self.failure_count = 0
         self.probed_as_sample = False
--- a/sorreldock/policy/request.py
+++ b/sorreldock/policy/request.py
@@ -23,6 +23,7 @@
         self.end_status: Status | None = None
 
     def may_have_run(self) -> bool:
+        """Return whether the replica may have run the attempt; an open attempt may have run."""
         return self.end_status not in NEVER_RAN
 
 
--- a/sorreldock/program/calls.py
+++ b/sorreldock/program/calls.py
@@ -10,8 +10,8 @@
 from ..routing.core import Core
 from .phases import Lifecycle, Phase
 
-# After a drain command: the platform's front polls the router every 0.1 s and sends it clients for 0.2 s
-# after it has seen the change. Once this time has passed, no new client arrives.
+# The time after a drain command for which new clients still arrive: the platform's front polls the router
+# every 0.1 s, and sends it clients for another 0.2 s after it has received the change.
 FRONT_LAG_S = 0.5
 
 
@@ -25,6 +25,7 @@
         self._drain_scope = trio.CancelScope()
 
     def ready(self) -> str:
+        """Return `ok serving` if the router serves and has a server, else `fail` and the reason."""
         if self._lifecycle.stopping:
             return "fail stopping"
         if self._lifecycle.phase is not Phase.SERVING:
@@ -45,6 +46,7 @@
         return "ok draining"
 
     def resume(self) -> str:
+        """Serve again after `drain`."""
         if self._lifecycle.stopping or self._lifecycle.phase is Phase.STARTING:
             return self.ready()
         if self._lifecycle.phase is Phase.DRAINED:
--- a/sorreldock/program/config.py
+++ b/sorreldock/program/config.py
@@ -180,7 +180,7 @@
     if severity not in SEVERITIES:
         raise ConfigError(f"[syslog] severity has the unknown value {severity}")
     operator = Operator(bool(http.get("enabled", True)), front, protocols, collector, severity)
-    # A front whose protocol no server speaks would refuse every RPC, so it is an error at the start.
+    # A front whose protocol no server supports would refuse every RPC, so it is an error at the start.
     for protocol, enabled in (("http", operator.http), ("kserve", front is not None)):
         if enabled and protocol not in protocols:
             raise ConfigError(
--- a/sorreldock/program/console.py
+++ b/sorreldock/program/console.py
@@ -14,8 +14,8 @@
 MAX_LINE_BYTES = 64
 LINE_TIMEOUT_S = 5.0  # to receive a line, which an operator may type by hand
 SEND_TIMEOUT_S = 1.0
-# After the answer, what a flooding caller still sends is discarded: for how long in all, and until how long
-# after its last byte.
+# After the answer, bytes that a caller still sends are discarded for at most this time, and until none has
+# arrived for the shorter time.
 MAX_CLOSE_S, CLOSE_AFTER_QUIET_S = 0.5, 0.1
 MAX_CALLERS = 16
 DESCRIPTORS = MAX_CALLERS + 1  # one is the listener's; reserved, so that clients can't use them up
@@ -50,6 +50,7 @@
         return False
 
     async def handle(self, connection: Connection) -> None:
+        """Answer one line from a caller, and close the connection."""
         try:
             answer = self._answer(*await self._receive_line(connection))
             with trio.move_on_after(SEND_TIMEOUT_S):
--- a/sorreldock/program/handover.py
+++ b/sorreldock/program/handover.py
@@ -17,7 +17,7 @@
 VERSION = 1
 MAX_RECORD_BYTES = 1024 * 1024
 LENGTH_PREFIX = struct.Struct("!I")
-LEAVING_PROCESS_DESCRIPTORS = 16  # a leaving process may take so many more, for attempts of its open requests
+LEAVING_PROCESS_DESCRIPTORS = 16  # that a leaving process may take for attempts of its open requests
 
 
 class PeerProtocolError(ValueError):
--- a/sorreldock/program/phases.py
+++ b/sorreldock/program/phases.py
@@ -41,6 +41,7 @@
         self._on_change = on_change
 
     def enter(self, phase: Phase) -> None:
+        """Enter a phase; raise RuntimeError if it can't follow the current one."""
         if phase not in TRANSITIONS[self.phase]:
             raise RuntimeError(f"phase {self.phase.value} can't be followed by {phase.value}")
         self.phase = phase
@@ -48,6 +49,7 @@
 
     @property
     def stopping(self) -> bool:
+        """Whether a stop was requested or the program is stopping."""
         return self.stop_requested.is_set() or self.phase in (Phase.LINGERING, Phase.DRAINING, Phase.STOPPED)
 
     @property
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -124,6 +124,7 @@
         return clients
 
     async def run(self) -> None:
+        """Run the router from its start to its exit, after `lifecycle.stop_requested`."""
         config = self.config
         self.resolver = Resolver(
             config.discovery,
@@ -316,6 +317,7 @@
 
 
 def serve(config: Config, reload_config: Callable[[], Config] | None = None) -> None:
+    """Run a router in this process until a signal stops it."""
     program = Program(config, reload_config)
 
     async def main() -> None:
--- a/sorreldock/program/simulation_commands.py
+++ b/sorreldock/program/simulation_commands.py
@@ -210,7 +210,7 @@
 
 
 def report_new_name() -> None:
-    """End with an error that says the new name of the command."""
+    """Fail with an error that gives the new name of the command."""
     raise usage_error("`lab plants` has been renamed to `lab mutants`")
 
 
--- a/sorreldock/program/syslog.py
+++ b/sorreldock/program/syslog.py
@@ -32,10 +32,12 @@
 
 
 def header_field(text: str, max_length: int) -> str:
+    """Return a text as a header field (RFC 5424 section 6): printable ASCII, or `-` for none."""
     return NOT_PRINTABLE_ASCII.sub("_", text)[:max_length] or "-"
 
 
 def sd_name(text: str) -> str:
+    """Return a text as a parameter's name (RFC 5424 section 6.3.3)."""
     return re.sub(r'[^\x21-\x7e]|[="\]]', "_", text)[:32] or "_"
 
 
@@ -87,6 +89,7 @@
         self._wake = trio.Event()
 
     def log(self, severity: str, message_id: str, text: str, **data: object) -> None:
+        """Queue a record, with `data` as its parameters, unless its severity is below the minimum."""
         if SEVERITIES[severity] > self._max_level:
             return
         if len(self._waiting) >= MAX_WAITING_RECORDS:
@@ -104,6 +107,7 @@
         self._waiting.append(record(severity, self.host, message_id, text, data, at, system.pid))
 
     async def run(self) -> None:
+        """Write the queued records until cancelled."""
         if self.collector:
             await self._send_to_collector()
         else:
@@ -134,7 +138,7 @@
             try:
                 while True:
                     await self._wait_for_record()
-                    if connection.is_stale:  # a collector sends nothing, so readable means closed
+                    if connection.is_stale:  # a collector sends nothing, so a readable connection is closed
                         raise ConnectionLost("closed by the collector")
                     frame = self._waiting[0]
                     with trio.fail_after(WRITE_TIMEOUT_S):
--- a/sorreldock/protocol/front.py
+++ b/sorreldock/protocol/front.py
@@ -59,10 +59,10 @@
         """Close the connection if it is between requests, and return whether it was."""
 
 
-C = TypeVar("C", bound=FrontConnection)
+ClientT = TypeVar("ClientT", bound=FrontConnection)
 
 
-class Front(ABC, Generic[C]):
+class Front(ABC, Generic[ClientT]):
     """The client connections of one protocol."""
 
     def __init__(
@@ -76,18 +76,20 @@
         self.core = core
         self.is_ready = is_ready
         self.payloads = payloads
-        self.clients: dict[C, None] = {}  # a dict, for the same order in each replay of a simulation
+        # A dict, so that the order is the same in each replay of a simulation.
+        self.clients: dict[ClientT, None] = {}
         # The time from which requests are refused: the process will be killed before it could answer them.
         self.refuse_requests_from = math.inf
         # Passes a connection between requests to the successor process; returns whether that succeeded.
         self.pass_connection: Callable[[Connection], Awaitable[bool]] | None = None
         self.log = log
-        self.queue: EvictionQueue[C] = EvictionQueue()  # of the connections that may be closed to make room
+        # The connections that may be closed to make room.
+        self.queue: EvictionQueue[ClientT] = EvictionQueue()
         self.evictions: Counter[str] = Counter()  # connections closed to make room, by stage
         budget.eviction_callbacks[Use.CLIENT].append(self.evict_clients)
 
     @abstractmethod
-    def create_client(self, connection: Connection) -> C:
+    def create_client(self, connection: Connection) -> ClientT:
         """Return the actor for a new connection."""
 
     @abstractmethod
@@ -137,7 +139,7 @@
             client.evict()
         return bool(evicted)
 
-    def reserve_payload(self, client: C, count: int) -> bool:
+    def reserve_payload(self, client: ClientT, count: int) -> bool:
         """Reserve memory for bytes of a request, and return whether that succeeded.
 
         If memory is short, the partial request that has been silent the longest is closed, so that stalled
--- a/sorreldock/protocol/http/freshness.py
+++ b/sorreldock/protocol/http/freshness.py
@@ -3,9 +3,9 @@
 The platform assumes that a router has received a change within a fixed time after discovery has it and is
 reachable, whatever calls failed before. So the duration of one failed call, the pause after it and the answer
 to the next call must add up to less than that time. Within this limit the pauses are long and spread: the
-whole fleet shares one discovery, which answers calls in turn and spends as much time on a call that has waited
-too long as on one that it answers. Each process therefore calls in its own slots, at a phase of every period
-that is drawn once. Pauses drawn anew for each call averaged 0.6 periods and caused congestion whenever
+whole fleet shares one discovery, which answers calls in turn and spends as much time on a call that has
+waited too long as on one that it answers. Each process therefore calls in its own slots, at a phase of every
+period that is drawn once. Pauses drawn anew for each call averaged 0.6 periods and caused congestion whenever
 discovery came back.
 """
 
--- a/sorreldock/protocol/kserve/grpc.py
+++ b/sorreldock/protocol/kserve/grpc.py
@@ -93,6 +93,7 @@
 
     @property
     def has_unsent(self) -> bool:
+        """Whether queued output is not completely written."""
         return bool(self._pending) or self._sending
 
     def queue_output(self) -> None:
--- a/sorreldock/protocol/server_client.py
+++ b/sorreldock/protocol/server_client.py
@@ -39,35 +39,35 @@
     return Status.NO_LISTENER if isinstance(error, NoListener) else Status.CONNECT_FAILED
 
 
-L = TypeVar("L", bound=PooledConnection)
-E = TypeVar("E")
+ConnectionT = TypeVar("ConnectionT", bound=PooledConnection)
+ExchangeT = TypeVar("ExchangeT")
 
 
-class PooledServerClient(ABC, Generic[L, E]):
+class PooledServerClient(ABC, Generic[ConnectionT, ExchangeT]):
     """A server client that runs each attempt and probe on a connection of its pool.
 
-    `L` is the type of a connection with its parser, `E` that of a request and its answer on a connection.
+    `ConnectionT` is the type of a connection with its parser, `ExchangeT` that of a request and its answer.
     """
 
-    def __init__(self, pool: ConnectionPool[L]) -> None:
+    def __init__(self, pool: ConnectionPool[ConnectionT]) -> None:
         self._pool = pool
         self.close_idle = pool.close_idle
         self.discard = pool.discard
         self.trim = pool.trim
 
     @abstractmethod
-    async def send(self, connection: L, rpc: RPC, progress: AttemptProgress) -> E:
+    async def send(self, connection: ConnectionT, rpc: RPC, progress: AttemptProgress) -> ExchangeT:
         """Write the whole request and return the exchange that its answer is read from."""
 
     @abstractmethod
-    async def answer(self, exchange: E, progress: AttemptProgress) -> AttemptResult:
+    async def answer(self, exchange: ExchangeT, progress: AttemptProgress) -> AttemptResult:
         """Forward the events of the answer until its end, and return the result."""
 
     @abstractmethod
-    async def send_probe(self, connection: L) -> AttemptResult:
+    async def send_probe(self, connection: ConnectionT) -> AttemptResult:
         """Send a probe and return its result, with the load report of the server."""
 
-    async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
+    async def run_attempt(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
         try:
             connection = await self._pool.get()
         except DialFailed as error:
--- a/sorreldock/routing/open_rpc.py
+++ b/sorreldock/routing/open_rpc.py
@@ -29,7 +29,9 @@
 
     @property
     def started(self) -> bool:
+        """Whether an attempt in flight has forwarded its first event."""
         return any(a is not None and a.started for a in self.attempts)
 
     def may_have_run(self) -> bool:
+        """Return whether a server may have run an attempt that has ended."""
         return any(s not in NEVER_RAN for s in self.statuses)
--- a/sorreldock/routing/subchannel.py
+++ b/sorreldock/routing/subchannel.py
@@ -241,7 +241,7 @@
                 if client is None:
                     result = AttemptResult(Status.NOT_SENT, note="server does not support the protocol")
                 elif attempt.abort_status is None:
-                    result = await client.call(attempt.rpc, attempt)
+                    result = await client.run_attempt(attempt.rpc, attempt)
         except SinkClosed:
             late = attempt.scope.cancel_called and attempt.abort_status is None
             result = (
--- a/sorreldock/routing/types.py
+++ b/sorreldock/routing/types.py
@@ -53,7 +53,8 @@
         Raises SinkClosed when the client has disconnected.
         """
 
-    def finish(self, final: FinalAnswer) -> None: ...
+    def finish(self, final: FinalAnswer) -> None:
+        """Take the final answer, to be written without blocking the caller."""
 
     def has_client_left(self) -> bool:
         """Return whether the client is known, without waiting, to have disconnected or cancelled."""
@@ -63,7 +64,7 @@
 class RPC:
     """A request in a form that is independent of its protocol.
 
-    Only the server client of the same protocol reads `payload`.
+    Only the server client of the same protocol reads `payload`, which is None once it is no longer needed.
     """
 
     name: str
@@ -127,10 +128,7 @@
 
 
 class AttemptProgress(Protocol):
-    """The interface through which a server client reports on an attempt in flight.
-
-    `forward_event` passes whole events on to the client and raises SinkClosed when it can't receive them.
-    """
+    """The interface through which a server client reports on an attempt in flight."""
 
     def may_send(self) -> bool:
         """Return whether the request may be written; called right before its first byte."""
@@ -141,19 +139,25 @@
     def first_event_timeout_s(self) -> float:
         """Return how long the router waits for the first event, counted from the last `may_send`."""
 
-    async def forward_event(self, data: bytes) -> None: ...
+    async def forward_event(self, data: bytes) -> None:
+        """Forward whole events of the answer; raise SinkClosed if the client can't receive them."""
 
 
 class ServerClient(Protocol):
-    """A client for one protocol of one server; cancelling a call closes its connection.
+    """A client for one protocol of one server; cancelling an attempt closes its connection.
 
     `close_idle` closes all idle connections, `trim` those that have been idle too long to be used again, and
     `discard` ends the use of the client.
     """
 
-    async def call(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult: ...
+    async def run_attempt(self, rpc: RPC, progress: AttemptProgress) -> AttemptResult:
+        """Send an RPC to the server, forward the answer and return the result.
+
+        A failure of the server is a result; SinkClosed is raised if the client can't receive the answer.
+        """
 
-    async def probe(self) -> AttemptResult: ...
+    async def probe(self) -> AttemptResult:
+        """Request the health and load of the server; a failure is a result, too."""
 
     def close_idle(self) -> None: ...
 
--- a/sorreldock/transport/admission.py
+++ b/sorreldock/transport/admission.py
@@ -13,7 +13,7 @@
 
 
 class Stage(Enum):
-    """How far the current request on a client connection has arrived."""
+    """The stage of the current request on a client connection."""
 
     SILENT = "silent"  # no byte received yet
     PARTIAL = "half"  # part of a request received
--- a/sorreldock/transport/budget.py
+++ b/sorreldock/transport/budget.py
@@ -21,7 +21,7 @@
     Beyond the limit `accept` and `connect` would fail, and the platform may count the program as crashed.
     """
 
-    RESERVED = 64  # interpreter, log, listeners, discovery, trio itself; at most a sixth of a small limit
+    RESERVED = 64  # for interpreter, log, listeners, discovery and trio; at most a sixth of a small limit
 
     def __init__(self, limit: int) -> None:
         self._extra_reserved = 0
@@ -32,7 +32,7 @@
         self._waiting = trio.lowlevel.ParkingLot()
 
     def reserve(self, count: int) -> None:
-        """Exclude descriptors from the budget for a part that doesn't acquire its own from here."""
+        """Exclude descriptors from the budget for a part of the program that doesn't acquire its own here."""
         self._extra_reserved = count
         self.resize(self.limit)
 
--- a/sorreldock/transport/connection.py
+++ b/sorreldock/transport/connection.py
@@ -92,6 +92,7 @@
 
     @property
     def unread(self) -> int:
+        """The number of received bytes in the ring buffer."""
         return len(self._incoming)
 
     async def receive(self) -> bytes:
@@ -169,7 +170,7 @@
 
     @property
     def closed_by_peer(self) -> bool:
-        """Whether the kernel knows that the peer has closed the connection, without reading."""
+        """Whether the kernel has received the peer's close; nothing is read for this."""
         return self._closed or closed_by_peer(self._sock)
 
     @property
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -105,6 +105,6 @@
         closed = HttpServerClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
-        assert (await closed.call(attempt, attempt)).status is Status.NO_LISTENER
+        assert (await closed.run_attempt(attempt, attempt)).status is Status.NO_LISTENER
     nowhere = HttpServerClient("not-an-address", DescriptorBudget(364), 1.0, 60.0, "/alive")
     assert (await nowhere.probe()).status is Status.CONNECT_FAILED
