--- a/sorreldock/client/call.py
+++ b/sorreldock/client/call.py
@@ -1,4 +1,4 @@
-"""One call: its attempts, one after the other, until an answer begins or the call is given up."""
+"""One call: its attempts, one after the other, until an answer begins or the call fails."""
 
 from __future__ import annotations
 
@@ -308,6 +308,7 @@
     def error(
         self, kind: type[ClientError], cause: str, may_have_run: bool, advice_s: float | None = None
     ) -> ClientError:
+        """Return an error with the figures of the call; `advice_s` is the advised retry delay, if any."""
         return kind(
             cause,
             may_have_run=may_have_run or self._earlier_may_have_run,
--- a/sorreldock/client/client.py
+++ b/sorreldock/client/client.py
@@ -61,8 +61,8 @@
 class Answer:
     """An answer in progress, iterated for its events, each complete and unchanged, as they arrive.
 
-    Iteration raises Broken if the answer is cut off, and ClientClosed if the client is closed. `resumed` says
-    whether the rest of a broken answer was asked for; `first_event_s` is the time from the call to the first
+    Iteration raises Broken if the answer is cut off, and ClientClosed if the client is closed. `resumed` is
+    true if the rest of a broken answer was requested; `first_event_s` is the time from the call to the first
     event, in seconds.
     """
 
--- a/sorreldock/client/command.py
+++ b/sorreldock/client/command.py
@@ -84,6 +84,7 @@
             yield
 
     def event(self, event: bytes, answer: Answer) -> None:
+        """Print an event of the answer."""
         self.events += 1
         text = event_text(event, self.ask.protocol)
         if self.ask.as_json:
@@ -94,6 +95,7 @@
             sys.stdout.flush()
 
     def end(self, outcome: str, attempts: int, retries: int, router: str, error: ClientError | None) -> None:
+        """Print the outcome; `error` is None for a complete answer."""
         if self.ask.as_json:
             fields: dict[str, Any] = {"outcome": outcome, "events": self.events}
             if error is not None:
--- a/sorreldock/client/http.py
+++ b/sorreldock/client/http.py
@@ -65,7 +65,7 @@
 
 
 class HttpConnection(Connection):
-    """A connection to a router that speaks the platform's HTTP/1.1."""
+    """A connection to a router over the platform's HTTP/1.1 protocol."""
 
     def __init__(self, router: str, socket: Socket, now: float, max_event_bytes: int) -> None:
         super().__init__(router, socket, now)
--- a/sorreldock/client/kserve.py
+++ b/sorreldock/client/kserve.py
@@ -34,7 +34,7 @@
 from .types import Request
 from .wire import AttemptMark, Connection, Exchange
 
-MAX_STREAMS_PER_CONNECTION = 32  # high enough for few connections, low enough to limit a lost one's damage
+MAX_STREAMS_PER_CONNECTION = 32  # few connections suffice, and a lost one affects few calls
 CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024  # large, so that a slow reader of one answer does not stop others
 INVALID_REQUEST_CODES = {
     Code.INVALID_ARGUMENT,
@@ -197,6 +197,7 @@
                     other.notify()
 
     def acknowledge(self, flow_controlled_bytes: int, stream: int) -> None:
+        """Open the flow-control windows by bytes that were processed."""
         if flow_controlled_bytes and self._lost is None:
             with suppress(h2.exceptions.ProtocolError):  # a closed stream has no window to update
                 self.h2.acknowledge_received_data(flow_controlled_bytes, stream)
@@ -272,6 +273,7 @@
     # Used by the connection.
 
     def notify(self) -> None:
+        """Wake the exchange's task after a change of its state."""
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -285,12 +287,14 @@
         self.notify()
 
     def connection_lost(self, lost: ConnectionLost) -> None:
+        """End the exchange, unless it has ended, because its connection or stream was lost."""
         if not self.ended and self._outcome is None:
             is_unwritten = self._stream_id == 0 or not self.connection.has_written(self._end_position)
             self._lost = ConnectionLost(lost.cause, unread=lost.unread or is_unwritten)
             self.notify()
 
     def end_with(self, outcome: Outcome) -> None:
+        """End the exchange with this outcome."""
         self._outcome = outcome
         self.notify()
 
--- a/sorreldock/client/policy/deadline.py
+++ b/sorreldock/client/policy/deadline.py
@@ -45,6 +45,7 @@
     min_s: float = 0.005  # the least time a router needs; nothing is sent when less remains
 
     def remaining_s(self, now: float) -> float:
+        """Return the time until the deadline; negative once it has passed."""
         return self.at - now
 
     def time_to_send(self, now: float, round_trip_s: float) -> float | None:
--- a/sorreldock/client/policy/picker.py
+++ b/sorreldock/client/policy/picker.py
@@ -159,7 +159,7 @@
                 router.max_outstanding, router.ejections = None, 0
 
     def record_failure(self, router: Router, now: float) -> None:
-        """Record a failure of the router, and eject it after enough of them, or one on probation."""
+        """Record a failure, and eject the router after enough of them, or at once while its limit applies."""
         router.failures += 1
         if router.failures < self.rules.eject_after and router.max_outstanding is None:
             return
--- a/sorreldock/client/policy/reconnect.py
+++ b/sorreldock/client/policy/reconnect.py
@@ -5,7 +5,7 @@
 end) the next dial waits for a delay drawn with decorrelated jitter (AWS's `min(cap, uniform(base, 3 *
 previous))`). Its window widens by a quarter with each dial that fails, so little that no single draw costs a
 call its deadline. A dial that fails without a loss before it (to a router that was never reachable) takes a
-token of a small rate instead, and the call goes on to another router at once.
+token of a small rate instead, and the call tries another router immediately.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     failed_rate_per_s: float = 0.5  # the same while dials fail
     failed_burst: int = 3
     settle_s: float = 10.0
-    forget_s: float = 60.0  # after so long without a failure or loss the jitter starts anew
+    forget_s: float = 60.0  # after this long without a failure or loss the jitter starts over
 
 
 class TokenBucket:
@@ -149,7 +149,7 @@
         announced to end; the backoff does not apply to such a router.
 
         During a backoff only one dial is made at a time. A request whose deadline is too near for the backoff
-        dials at the same relative place within four fifths of its own time: so many requests with short
+        dials at the same relative place within four fifths of its own time: thus many requests with short
         deadlines are spread as well, and the last of them still have time for the answer.
         """
         if now > latest:
--- a/sorreldock/client/policy/retry.py
+++ b/sorreldock/client/policy/retry.py
@@ -27,6 +27,7 @@
         self.retries = 0
 
     def record_first_send(self) -> None:
+        """Add the share of a token for the first send of a request."""
         self.first_sends += 1
         self._tokens = min(self._tokens + self.share, self.max_tokens)
 
--- a/sorreldock/client/pool.py
+++ b/sorreldock/client/pool.py
@@ -1,4 +1,4 @@
-"""The client's pool of connections to routers: reuse, dialling, and the care of idle connections."""
+"""The client's pool of connections to routers: reuse, dialling, and checks of idle connections."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
     # Reuse.
 
-    def _usable(self, connection: Connection) -> bool:
+    def _is_usable(self, connection: Connection) -> bool:
         return connection.free_slots > 0 and (
             self.protocol == "kserve" or not connection.socket.is_readable()
         )
@@ -57,18 +57,19 @@
         """Return a connection with a free slot, or None if one has to be dialled.
 
         Those opened last come first, so that the others become idle and close. An unused HTTP connection
-        with something to read has ended or is out of step, and is closed.
+        with something to read has ended or has received unexpected data, and is closed.
         """
         for connection in reversed(self.connections.get(address, [])):
             if connection.free_slots <= 0:
                 continue
-            if self._usable(connection):
+            if self._is_usable(connection):
                 return connection
             self._handle_loss(connection, idle=True)
             return self.take_available(address)
         return None
 
     def has_free_slot(self, address: str) -> bool:
+        """Return whether a connection to this router can take another call."""
         return any(connection.free_slots > 0 for connection in self.connections.get(address, ()))
 
     def has_live_connection(self, address: str) -> bool:
@@ -87,6 +88,7 @@
             await event.wait()
 
     def notify_change(self) -> None:
+        """Wake the calls that wait for a change of the connections."""
         self._change.set()
         self._change = anyio.Event()
 
@@ -183,6 +185,7 @@
         )
 
     def close_connection(self, connection: Connection) -> None:
+        """Close a connection and remove it from the pool."""
         connection.close()
         connections = self.connections.get(connection.router, [])
         if connection in connections:
--- a/sorreldock/client/sockets.py
+++ b/sorreldock/client/sockets.py
@@ -15,7 +15,7 @@
 
 
 class ConnectionLost(Exception):
-    """The connection ended; `unread` says that the peer can't have read all that was sent."""
+    """The connection ended; `unread` is true if the peer can't have read all that was sent."""
 
     def __init__(self, cause: str, unread: bool = False) -> None:
         super().__init__(cause)
@@ -23,7 +23,7 @@
 
 
 class DialFailed(Exception):
-    """No connection came up, and nothing was sent."""
+    """No connection could be opened, and nothing was sent."""
 
 
 class Socket:
--- a/sorreldock/client/stats.py
+++ b/sorreldock/client/stats.py
@@ -68,7 +68,7 @@
 
 
 def summary(histogram: HdrHistogram) -> dict[str, float]:
-    """Return the count, p50, p95, p99 and max of a histogram, in seconds; the count alone if it is 0."""
+    """Return the count, and p50, p95, p99 and max in seconds, of a histogram; the count alone if it is 0."""
     if not histogram.total_count:
         return {"count": 0}
     value_at = histogram.get_value_at_percentile
--- a/sorreldock/client/types.py
+++ b/sorreldock/client/types.py
@@ -70,8 +70,8 @@
 class Broken(ClientError):
     """The answer was cut off after it had begun; `received` holds the events that arrived, in order."""
 
-    def __init__(self, cause: str, received: list[bytes], **words: object) -> None:
-        super().__init__(cause, may_have_run=True, **words)  # type: ignore[arg-type]
+    def __init__(self, cause: str, received: list[bytes], **details: object) -> None:
+        super().__init__(cause, may_have_run=True, **details)  # type: ignore[arg-type]
         self.received = received
 
 
--- a/sorreldock/interface.py
+++ b/sorreldock/interface.py
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """The cost of a unit of each, as a fraction of the whole result."""
+    """The price of one unit of each kind of cost, as a fraction of the whole result."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a gateway knows about its deployment at its start."""
+    """The description of its deployment that a gateway gets at its start."""
 
     zone: str
     zones: tuple[str, ...]
@@ -169,8 +169,8 @@
 
     DELTA = "delta"  # only the entries that changed
     FULL = "full"  # replaces the present list
-    CACHED = "cached"  # replaces it as well, from a copy that may be old
-    LOST = "lost"  # the subscription to changes is lost; there are no entries
+    CACHED = "cached"  # replaces the present list with a copy that may be outdated
+    LOST = "lost"  # the subscription to changes has ended; the list has no entries
 
 
 class Status(Enum):
@@ -274,7 +274,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another gateway has sent a message."""
+    """A message from another gateway has arrived."""
 
     sender: int
     payload: bytes
--- a/sorreldock/kserve/framing.py
+++ b/sorreldock/kserve/framing.py
@@ -10,7 +10,7 @@
 from urllib.parse import quote, unquote
 
 SERVICE = "inference.GRPCInferenceService"
-MAX_ANSWER_BYTES = 1024 * 1024  # for each message of an answer
+MAX_ANSWER_MESSAGE_BYTES = 1024 * 1024  # for each message of an answer
 MAX_HEADER_LIST_BYTES = 16 * 1024
 TIMEOUT_PATTERN = re.compile(r"(\d{1,8})([HMSmun])")
 CONNECTION_PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -242,7 +242,7 @@
         await trio.sleep(EMPTY_S)
         while True:
             await trio.sleep(0.1)
-            if router.life() != life or program.lifecycle.stopping:
+            if router.life() != life or program.lifecycle.is_stopping:
                 return
             now = trio.current_time()
             clients = [c for front in program.fronts.values() for c in front.clients]
--- a/sorreldock/program/calls.py
+++ b/sorreldock/program/calls.py
@@ -26,7 +26,7 @@
 
     def ready(self) -> str:
         """Return `ok serving` if the router serves and has a server, else `fail` and the reason."""
-        if self._lifecycle.stopping:
+        if self._lifecycle.is_stopping:
             return "fail stopping"
         if self._lifecycle.phase is not Phase.SERVING:
             return f"fail {self._lifecycle.phase.value}"
@@ -37,7 +37,7 @@
 
         `/up` is answered with a failure, and requests that still arrive are served.
         """
-        if self._lifecycle.stopping or self._lifecycle.phase is Phase.STARTING:
+        if self._lifecycle.is_stopping or self._lifecycle.phase is Phase.STARTING:
             return self.ready()
         if self._lifecycle.phase is Phase.SERVING:
             self._lifecycle.enter(Phase.DRAINED)
@@ -47,7 +47,7 @@
 
     def resume(self) -> str:
         """Serve again after `drain`."""
-        if self._lifecycle.stopping or self._lifecycle.phase is Phase.STARTING:
+        if self._lifecycle.is_stopping or self._lifecycle.phase is Phase.STARTING:
             return self.ready()
         if self._lifecycle.phase is Phase.DRAINED:
             self._drain_scope.cancel()
--- a/sorreldock/program/phases.py
+++ b/sorreldock/program/phases.py
@@ -48,7 +48,7 @@
         self._on_change(phase)
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         """Whether a stop was requested or the program is stopping."""
         return self.stop_requested.is_set() or self.phase in (Phase.LINGERING, Phase.DRAINING, Phase.STOPPED)
 
--- a/sorreldock/program/serve.py
+++ b/sorreldock/program/serve.py
@@ -96,7 +96,7 @@
         self.serving = trio.Event()
         self.linger_s = LINGER_S
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the router serves and has a server that accepts requests."""
         return self.lifecycle.is_serving and self.core.can_serve()
 
@@ -214,7 +214,7 @@
     def _open_fronts(self) -> None:
         operator = self.config.operator
         if operator.http:
-            self.fronts["http"] = HttpFront(self.core, self.ready, self.budget, self.payloads, self.log)
+            self.fronts["http"] = HttpFront(self.core, self.is_ready, self.budget, self.payloads, self.log)
             self.listeners["http"] = Listener(
                 self.config.listen, self.budget, self.system, self.config.inherited_fd
             )
@@ -226,7 +226,7 @@
                 kserve.models, kserve.default_class, kserve.default_tenant, kserve.keepalive_s
             )
             self.fronts["kserve"] = KserveFront(
-                settings, __version__, self.core, self.ready, self.budget, self.payloads, self.log
+                settings, __version__, self.core, self.is_ready, self.budget, self.payloads, self.log
             )
             self.listeners["kserve"] = Listener(kserve.listen, self.budget, self.system)
 
--- a/sorreldock/protocol/http/client.py
+++ b/sorreldock/protocol/http/client.py
@@ -38,7 +38,7 @@
         self.parser = h11.Connection(h11.CLIENT)
         self.chunked = False
 
-    async def usable(self) -> bool:
+    async def is_usable(self) -> bool:
         return not self.connection.is_stale
 
     async def next_event(self) -> h11.Event:
--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -124,7 +124,7 @@
 
     def connection_fields(self) -> list[tuple[bytes, bytes]]:
         """Return the fields that announce the close of the connection, if it will be closed."""
-        will_close = self.front.draining and self.front.pass_connection is None
+        will_close = self.front.is_announcing_close and self.front.pass_connection is None
         return [(b"connection", b"close")] if will_close else []
 
     def release_body(self) -> None:
@@ -155,7 +155,9 @@
                     await self.close_gracefully()
                     return
                 self.parser.start_next_cycle()
-                if self.front.closing and not self.has_next_request():  # a request that has begun is answered
+                if (
+                    self.front.is_closing and not self.has_next_request()
+                ):  # a request that has begun is answered
                     await self.pass_to_successor()
                     if self.front.pass_connection is None:
                         await self.close_gracefully()
@@ -209,7 +211,7 @@
 
         A close instead would reset a request that is in transit.
         """
-        if self.front.closing and self.front.pass_connection is not None and not self.has_next_request():
+        if self.front.is_closing and self.front.pass_connection is not None and not self.has_next_request():
             await self.front.pass_connection(self.connection)
 
     async def next_request(self) -> h11.Request | None:
@@ -219,7 +221,7 @@
             self.release_pipelined()
             timeout_s = (
                 limits.DRAINING_FIRST_BYTE_TIMEOUT_S
-                if self.front.closing
+                if self.front.is_closing
                 else IDLE_TIMEOUT_S
                 if self.has_sent_request
                 else limits.HEAD_TIMEOUT_S
@@ -417,20 +419,20 @@
 class HttpFront(Front[ClientConnection]):
     """The front for HTTP/1.1."""
 
-    draining = False  # answers carry `Connection: close`
-    closing = False  # connections are closed after their answer
+    is_announcing_close = False  # answers carry `Connection: close`
+    is_closing = False  # connections are closed after their answer
 
     def create_client(self, connection: Connection) -> ClientConnection:
         return ClientConnection(self, connection)
 
     async def announce_close(self) -> None:
-        self.draining = True
+        self.is_announcing_close = True
 
     async def drain(self) -> None:
         """Close connections between requests, now and from now on."""
-        self.closing = True
+        self.is_closing = True
         for client in self.clients:
             client.close_if_idle()
 
     def resume(self) -> None:
-        self.draining = self.closing = False
+        self.is_announcing_close = self.is_closing = False
--- a/sorreldock/protocol/kserve/client.py
+++ b/sorreldock/protocol/kserve/client.py
@@ -15,7 +15,7 @@
 from ...interface import Metric, Status
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import (
-    MAX_ANSWER_BYTES,
+    MAX_ANSWER_MESSAGE_BYTES,
     SERVICE,
     Code,
     Deframer,
@@ -56,7 +56,7 @@
     def __init__(self, connection: ServerConnection, number: int) -> None:
         self.connection = connection
         self.number = number
-        self.deframer = Deframer(MAX_ANSWER_BYTES)
+        self.deframer = Deframer(MAX_ANSWER_MESSAGE_BYTES)
         self.headers: dict[str, str] = {}
         self.trailers: Headers = []
         self.ended = False
@@ -152,7 +152,7 @@
         self.wire = H2Wire(connection, client_side=True, max_streams=0)
         self.goaway_received = False
 
-    async def usable(self) -> bool:
+    async def is_usable(self) -> bool:
         """Handle what arrived while the connection was idle: SETTINGS, PING or GOAWAY."""
         try:
             while self.connection.readable:
--- a/sorreldock/transport/pool.py
+++ b/sorreldock/transport/pool.py
@@ -17,7 +17,7 @@
     @property
     def connection(self) -> Connection: ...
 
-    async def usable(self) -> bool:
+    async def is_usable(self) -> bool:
         """Return whether an idle connection can carry another attempt."""
 
     def renew(self) -> bool:
@@ -63,7 +63,7 @@
         """
         while (idle := self._pop_idle()) is not None:
             since, pooled = idle
-            if trio.current_time() - since < self._reusable_s and await pooled.usable():
+            if trio.current_time() - since < self._reusable_s and await pooled.is_usable():
                 return pooled
             pooled.connection.close()
         if not self._budget.acquire(Use.SERVER):
--- a/tests/client_peers.py
+++ b/tests/client_peers.py
@@ -39,6 +39,7 @@
 
 
 def refusal(advice: str = "", status: int = 503) -> bytes:
+    """Return a response that refuses a request; `advice` is the value of its Retry-After."""
     extra = f"retry-after: {advice}\r\n" if advice else ""
     return f"HTTP/1.1 {status} No\r\n{extra}content-length: 0\r\n\r\n".encode()
 
@@ -98,9 +99,9 @@
         raise result["error"]
 
 
-def router(engine: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
+def router(server: DualProtocolServer, **options: Any) -> AbstractAsyncContextManager[Any]:
     """Return a context of the real router in front of this server, on both protocols."""
-    return running_router(engine, operator=BOTH_PROTOCOLS, **options)
+    return running_router(server, operator=BOTH_PROTOCOLS, **options)
 
 
 class Stub(Peer):
@@ -116,7 +117,7 @@
         self.times: list[float] = []
         self.max_open = self._open = 0
 
-    async def attend(self, stream: Any) -> None:
+    async def serve_connection(self, stream: Any) -> None:
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         self._open += 1
         self.max_open = max(self.max_open, self._open)
@@ -143,7 +144,7 @@
         return head
 
     @asynccontextmanager
-    async def on(self) -> AsyncIterator[Stub]:
+    async def running(self) -> AsyncIterator[Stub]:
         async with self.open():
             yield self
 
@@ -166,8 +167,8 @@
     return ""
 
 
-def on_both(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """Decorate a test to run under asyncio and under trio, with a limit of 20 s instead of a hang."""
+def on_both_backends(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
+    """Decorate a test to run under asyncio and under trio, with a timeout of 20 s."""
 
     @pytest.mark.parametrize("backend", ["asyncio", "trio"])
     @wraps(test)
--- a/tests/grpc_peers.py
+++ b/tests/grpc_peers.py
@@ -193,11 +193,11 @@
         self.grpc_scripts: list[Callable[[Stream], Awaitable[None]]] = []
         self.grpc_streams: list[Stream] = []
 
-    async def attend(self, stream: trio.SocketStream) -> None:
+    async def serve_connection(self, stream: trio.SocketStream) -> None:
         first = await stream.receive_some(3)
         rest = PrefixedStream(first, stream)
         if first != b"PRI":
-            await super().attend(rest)
+            await super().serve_connection(rest)
             return
         endpoint = H2Endpoint(rest, client=False)
         async with trio.open_nursery() as nursery:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -111,7 +111,7 @@
 def chosen_replicas(
     gateway: Gateway, keys: Iterable[str], now: float = START, prefix: bool = False
 ) -> dict[str, int]:
-    """Return the replica that each key is sent to, by one request each, with no two open at a time."""
+    """Return the replica that each key maps to, found with one request each, one after the other."""
     chosen = {}
     for key in keys:
         request = arrival(f"q-{key}-{now}", session=key, prefix=key if prefix else "", now=now)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -166,18 +166,18 @@
     async def open(self) -> AsyncIterator[None]:
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(
-                functools.partial(trio.serve_tcp, self._attend, 0, host="127.0.0.1")
+                functools.partial(trio.serve_tcp, self._serve_connection, 0, host="127.0.0.1")
             )
             self.address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
             yield
             nursery.cancel_scope.cancel()
 
-    async def _attend(self, stream: trio.SocketStream) -> None:
+    async def _serve_connection(self, stream: trio.SocketStream) -> None:
         self.connections += 1
         with suppress(h11.ProtocolError, trio.BrokenResourceError, trio.ClosedResourceError):
-            await self.attend(stream)  # returns once the router has closed the connection
+            await self.serve_connection(stream)  # returns once the router has closed the connection
 
-    async def attend(self, stream: trio.SocketStream) -> None:
+    async def serve_connection(self, stream: trio.SocketStream) -> None:
         raise NotImplementedError
 
 
@@ -191,7 +191,7 @@
         self.received_requests: list[ReceivedRequest] = []
         self.open_requests = self.max_open_requests = 0
 
-    async def attend(self, stream: Any) -> None:
+    async def serve_connection(self, stream: Any) -> None:
         wire = HttpConnection(stream, h11.SERVER)
         while True:
             head, body = await wire.message()
@@ -251,7 +251,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def attend(self, stream: trio.SocketStream) -> None:
+    async def serve_connection(self, stream: trio.SocketStream) -> None:
         wire = HttpConnection(stream, h11.SERVER)
         await wire.message()
         self.watches += 1
@@ -261,7 +261,7 @@
         await wire.send(h11.Response(status_code=200, headers=[]))
         if self.malformed_lines:
             await wire.send(h11.Data(data=self.malformed_lines.pop(0) + b"\n"))
-            await until_left(stream)
+            await read_until_closed(stream)
             return
         while True:
             changed = self.changed
@@ -271,14 +271,14 @@
             await changed.wait()
 
 
-async def until_left(stream: Any) -> None:
+async def read_until_closed(stream: Any) -> None:
     while await stream.receive_some(4096):
         pass
 
 
 @dataclass
 class Answer:
-    """A router's answer as a client receives it; `whole` says whether its end has arrived."""
+    """A router's answer as a client receives it; `whole` is true if its end has arrived."""
 
     status: int
     headers: dict[str, str]
@@ -373,7 +373,7 @@
     sockets: int = 1024,
     **settings: Any,
 ) -> AsyncIterator[Router]:
-    """Run the program with these servers; at the end it has to stop by itself."""
+    """Run the program with these servers; at the end of the block it has to stop when asked to."""
     discovery = discovery or Discovery(*servers)
     raw = {**SETTINGS, "discovery": lists, **{k: v for k, v in settings.items() if k != "limits"}}
     raw["policy_limits"] = {**SETTINGS["policy_limits"], **settings.get("limits", {})}
@@ -396,7 +396,7 @@
             nursery.start_soon(router.program.run)
             await router.program.serving.wait()
             yield router
-            router.program.linger_s = 0.0  # no client connects any more
+            router.program.linger_s = 0.0  # no further client connects
             router.program.lifecycle.stop_requested.set()
         assert router.program.lifecycle.phase is Phase.STOPPED
         peers.cancel_scope.cancel()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -26,7 +26,7 @@
     beside_host,
     header,
     hosted,
-    on_both,
+    on_both_backends,
     refusal,
     router,
 )
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
-@on_both
+@on_both_backends
 async def test_events_arrive_unchanged_and_one_connection_is_reused(protocol: str) -> None:
     engine = DualProtocolServer()
     with hosted(router(engine)) as real:
@@ -80,7 +80,7 @@
             assert client.stats().as_dict()["open_calls"] == 0
 
 
-@on_both
+@on_both_backends
 async def test_concurrent_calls_share_a_grpc_connection_and_use_separate_http_ones() -> None:
     with hosted(router(DualProtocolServer())) as real:
         for protocol, max_connections in (("http", 12), ("kserve", 1)):
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
-@on_both
+@on_both_backends
 async def test_the_first_refusal_is_retried_and_the_second_raised(protocol: str) -> None:
     async def refuse_grpc(stream: GrpcStream) -> None:
         await stream.finish(14, x_never_ran="1")
@@ -112,7 +112,7 @@
             assert counters(client, "refusals_honoured", "refusals_surfaced", "refused") == (1, 1, 1)
 
 
-@on_both
+@on_both_backends
 async def test_an_answer_cut_off_after_its_first_event_raises_the_events_received() -> None:
     async def cut_at_first_event(received: ReceivedRequest) -> None:
         await received.start(b'data: {"n":1}\n\n')
@@ -134,7 +134,7 @@
             assert (await client.ask(REQUEST, 4.0)).attempts == 1
 
 
-@on_both
+@on_both_backends
 async def test_the_rest_of_a_broken_answer_is_requested_once_after_the_first_attempt_is_closed() -> None:
     async def cut_after_first_event(received: ReceivedRequest) -> None:
         await received.start(b'data: {"choices":[{"delta":{"content":"a "}}]}\n\n')
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
 @pytest.mark.parametrize("waiting", [True, False])
-@on_both
+@on_both_backends
 async def test_leaving_a_call_cancels_it_at_the_server(protocol: str, waiting: bool) -> None:
     arrived, cancelled = threading.Event(), threading.Event()
 
@@ -193,7 +193,7 @@
             assert client.stats().open_calls == 0
 
 
-@on_both
+@on_both_backends
 async def test_closing_a_client_raises_client_closed_in_open_calls() -> None:
     async def hang(received: ReceivedRequest) -> None:
         await received.start(b"data: 1\n\n")
@@ -257,7 +257,7 @@
 
 async def call_after_reply(reply: bytes, settings: ClientSettings | None = None) -> tuple[Any, Stub]:
     """Return the result or error of a call to a router that sends this reply first, and then answers."""
-    with hosted(Stub(answers(reply, OK)).on()) as stub:
+    with hosted(Stub(answers(reply, OK)).running()) as stub:
         async with Client([stub.address], settings) as client:
             try:
                 return await client.ask(REQUEST, 2.0), stub
@@ -265,7 +265,7 @@
                 return error, stub
 
 
-@on_both
+@on_both_backends
 async def test_requests_carry_their_fields_and_retries_are_marked() -> None:
     whole, stub = await call_after_reply(refusal("0.3"))
     assert whole.events == EVENTS and (whole.attempts, whole.retries) == (2, 1)
@@ -282,13 +282,13 @@
 
 
 @pytest.mark.parametrize("advice", ["0", "-1", "nan", "Mon, 01 Dec 2025 12:00:00 GMT", ""])
-@on_both
+@on_both_backends
 async def test_empty_or_invalid_advice_delays_a_retry_only_briefly(advice: str) -> None:
     whole, _ = await call_after_reply(refusal(advice, 429))
     assert (whole.attempts, whole.retries) == (2, 1)
 
 
-@on_both
+@on_both_backends
 async def test_a_refusal_without_time_or_budget_for_a_retry_is_raised_at_once() -> None:
     no_token = ClientSettings(retry_reserve=0.0, retry_share=0.0)
     for settings, advice in ((None, "30"), (no_token, "0.2"), (ClientSettings(max_retries=0), "0.2")):
@@ -298,9 +298,12 @@
         assert len(stub.heads) == 1 and error.attempts == 1  # without a further attempt
 
 
-@on_both
+@on_both_backends
 async def test_other_calls_observe_the_pause_that_a_router_asked_for() -> None:
-    with hosted(Stub(answers(refusal("0.4"), OK)).on()) as stub, hosted(Stub(answers(OK)).on()) as other:
+    with (
+        hosted(Stub(answers(refusal("0.4"), OK)).running()) as stub,
+        hosted(Stub(answers(OK)).running()) as other,
+    ):
         async with Client([stub.address], ClientSettings(max_retries=0)) as client:
             with pytest.raises(Refused):
                 await client.ask(REQUEST, 2.0)
@@ -318,13 +321,13 @@
             assert {(await client.ask(REQUEST, 2.0)).router for _ in range(5)} == {other.address}
 
 
-@on_both
+@on_both_backends
 async def test_a_router_that_never_answers_is_ejected() -> None:
     async def silent(stub: Stub, stream: Any) -> None:
         await stub.request(stream)
         await stub.request(stream)
 
-    with hosted(Stub(silent).on()) as stub, hosted(Stub(answers(OK)).on()) as other:
+    with hosted(Stub(silent).running()) as stub, hosted(Stub(answers(OK)).running()) as other:
         async with Client([stub.address], SAFE) as client:
             for _ in range(2):
                 with pytest.raises(DeadlineExceeded) as expired:
@@ -334,14 +337,14 @@
             assert {(await client.ask(REQUEST, 2.0)).router for _ in range(5)} == {other.address}
 
 
-@on_both
+@on_both_backends
 async def test_a_router_that_falls_silent_within_an_answer_is_detected() -> None:
     async def stops(stub: Stub, stream: Any) -> None:
         await stub.request(stream)
         await stream.send_all(OK[:100])
         await stub.request(stream)
 
-    with hosted(Stub(stops).on()) as stub:
+    with hosted(Stub(stops).running()) as stub:
         async with Client([stub.address], ClientSettings(silence_s=0.2)) as client:
             with pytest.raises(Broken, match="nothing was received"):
                 await client.ask(REQUEST, 2.0)
@@ -350,13 +353,13 @@
         async for _ in stream:
             pass
 
-    with hosted(Stub(never_reads).on()) as stub:
+    with hosted(Stub(never_reads).running()) as stub:
         async with Client([stub.address], ClientSettings(ping_s=0.2), protocol="kserve") as client:
             with pytest.raises(Failed, match="ping"):
                 await client.ask(REQUEST, 3.0)
 
 
-@on_both
+@on_both_backends
 async def test_a_request_on_a_kept_connection_that_ended_is_resent_only_if_unread() -> None:
     async def closes_unread(stub: Stub, stream: Any) -> None:
         await stub.request(stream)
@@ -370,13 +373,13 @@
         await stub.request(stream)
 
     none = ClientSettings(max_retries=0)
-    with hosted(Stub(closes_unread, answers(OK)).on()) as stub:
+    with hosted(Stub(closes_unread, answers(OK)).running()) as stub:
         async with Client([stub.address], none) as client:
             await client.ask(REQUEST, 9.0)
             whole = await client.ask(REQUEST, 9.0)
             assert (whole.attempts, whole.retries) == (2, 0)
             assert counters(client, "resends", "retries", "connections_lost") == (1, 0, 1)
-    with hosted(Stub(closes_read, answers(OK)).on()) as stub:
+    with hosted(Stub(closes_read, answers(OK)).running()) as stub:
         async with Client([stub.address], none) as client:
             await client.ask(REQUEST, 9.0)
             with pytest.raises(Failed) as failed:
@@ -384,7 +387,7 @@
             assert failed.value.may_have_run and len(stub.heads) == 2
 
 
-@on_both
+@on_both_backends
 async def test_an_answer_cut_off_before_its_first_event_is_retried_only_if_safe() -> None:
     async def closes_without_answer(stub: Stub, stream: Any) -> None:
         await stub.request(stream)
@@ -394,21 +397,21 @@
         await stream.send_all(OK[: OK.index(b"9\r\n")])
 
     for script, kind in ((closes_without_answer, Failed), (closes_after_head, Broken)):
-        with hosted(Stub(script, answers(OK)).on()) as stub:
+        with hosted(Stub(script, answers(OK)).running()) as stub:
             async with Client([stub.address]) as client:
                 with pytest.raises(kind) as error:
                     await client.ask(REQUEST, 4.0)
                 assert error.value.may_have_run and error.value.attempts == 1
-        with hosted(Stub(script, answers(OK)).on()) as stub:
+        with hosted(Stub(script, answers(OK)).running()) as stub:
             async with Client([stub.address], SAFE) as client:
                 assert (await client.ask(REQUEST, 8.0)).retries == 1
 
 
-@on_both
+@on_both_backends
 async def test_an_unreachable_router_is_skipped_at_once_and_none_reachable_is_an_error() -> None:
     with socket.create_server(("127.0.0.1", 0)) as unused:
         dead = f"127.0.0.1:{unused.getsockname()[1]}"
-    with hosted(Stub(answers(OK)).on()) as stub:
+    with hosted(Stub(answers(OK)).running()) as stub:
         for _ in range(4):
             async with Client([dead, stub.address]) as client:
                 with anyio.fail_after(1.0):
@@ -421,7 +424,7 @@
         assert client.stats().dials_failed <= 4
 
 
-@on_both
+@on_both_backends
 async def test_cancelling_a_dial_leaves_nothing_open() -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = full.getsockname()
@@ -438,10 +441,10 @@
             filler.close()
 
 
-@on_both
+@on_both_backends
 async def test_an_announced_close_counts_as_a_loss_and_delays_the_next_dial() -> None:
     leaving = OK.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n", 1)
-    with hosted(Stub(answers(leaving), answers(OK)).on()) as stub:
+    with hosted(Stub(answers(leaving), answers(OK)).running()) as stub:
         async with Client([stub.address], rng=random.Random(3)) as client:
             await client.ask(REQUEST, 4.0)
             assert counters(client, "connections_lost", "open_connections") == (1, 0)
@@ -451,7 +454,7 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "kserve"])
-@on_both
+@on_both_backends
 async def test_calls_go_to_the_other_router_when_one_announces_its_stop(protocol: str) -> None:
     engine, second = DualProtocolServer(), DualProtocolServer()
     with hosted(router(engine)) as real, hosted(router(second)) as other:
@@ -473,9 +476,9 @@
             assert counters(client, "connections_opened", "dials_failed", "failed") == (2, 0, 0)
 
 
-@on_both
+@on_both_backends
 async def test_nothing_is_sent_that_cannot_be_answered_in_time() -> None:
-    with hosted(Stub(answers(OK)).on()) as stub:
+    with hosted(Stub(answers(OK)).running()) as stub:
         async with Client([stub.address]) as client:
             client._shared.picker.routers[stub.address].round_trip.add_sample(1.0)  # a round trip of 1 s
             with pytest.raises(ClientError) as error:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -198,21 +198,21 @@
     event = b'data: {"choices":[{"delta":{"content":"a street"}}]}\n\n'
     good = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(event), event)
     cut = good[: good.index(b"0\r\n\r\n")].replace(b"transfer-encoding: chunked", b"content-length: 999")
-    with hosted(Stub(answers(good)).on()) as stub:
+    with hosted(Stub(answers(good)).running()) as stub:
         status, records = ask("--router", stub.address)
         assert status == 0 and records[0]["text"] == "a street"
         assert (records[1]["outcome"], records[1]["attempts"]) == ("answered", 1)
-    with hosted(Stub(answers(refusal("9"))).on()) as stub:
+    with hosted(Stub(answers(refusal("9"))).running()) as stub:
         status, records = ask("--router", stub.address)
         assert status == 3 and records[0]["retry_after_s"] == 9.0
-    with hosted(Stub(answers(refusal("", 500))).on()) as stub:
+    with hosted(Stub(answers(refusal("", 500))).running()) as stub:
         assert ask("--router", stub.address)[0] == 4
 
     async def breaks(stub: Stub, stream: object) -> None:
         await stub.request(stream)
         await stream.send_all(cut)  # type: ignore[attr-defined]
 
-    with hosted(Stub(breaks).on()) as stub:
+    with hosted(Stub(breaks).running()) as stub:
         assert ask("--router", stub.address)[0] == 5
     assert ask("--router", "nowhere")[0] == 2
     with socket.create_server(("127.0.0.1", 0)) as silent:
