--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -393,9 +393,9 @@
 
 
 async def steps_and_fails(self: Exchange) -> None:
-    for event in await self.line.wire.receive() or ():
+    for event in await self.connection.wire.receive() or ():
         self.handle_event(event)
-    await self.line.wire.flush()
+    await self.connection.wire.flush()
 
 
 async def begins_anew(self: Program) -> None:
