--- a/sorreldock/lab/directory.py
+++ b/sorreldock/lab/directory.py
@@ -53,7 +53,7 @@
         while len(self._changes) > MOST_CHANGES and self._changes[0][0] <= now:
             self._apply(self._changes.pop(0))
 
-    def state(self, now: float, uid: str, state: str) -> None:
+    def set_state(self, now: float, uid: str, state: str) -> None:
         """Publish another state of an engine; KeyError if it was never published."""
         latest = next((e for _, _, e in reversed(self._changes) if e.uid == uid), self._entries.get(uid))
         if latest is None:
@@ -68,7 +68,7 @@
         else:
             self._entries[entry.uid] = entry
 
-    def whole(self, now: float) -> dict[str, Any]:
+    def full_list(self, now: float) -> dict[str, Any]:
         entries, version = dict(self._entries), self._forgotten
         for visible_at, number, entry in self._changes:
             if visible_at > now:
@@ -80,15 +80,15 @@
                 entries[entry.uid] = entry
         return {"rev": version, "all": True, "targets": [e.as_json() for e in entries.values()]}
 
-    def since(self, now: float, version: int) -> dict[str, Any] | None:
+    def changes_since(self, now: float, version: int) -> dict[str, Any] | None:
         """What has become visible after this version; None if nothing has."""
         if version < self._forgotten or version > self._version:
-            return self.whole(now)
+            return self.full_list(now)
         seen = [(number, entry) for at, number, entry in self._changes if at <= now and number > version]
         if not seen:
             return None
         return {"rev": seen[-1][0], "all": False, "targets": [entry.as_json() for _, entry in seen]}
 
-    def next_at(self, now: float) -> float | None:
+    def next_change_at(self, now: float) -> float | None:
         """When the next change becomes visible."""
         return next((at for at, _, _ in self._changes if at > now), None)
--- a/sorreldock/lab/engine.py
+++ b/sorreldock/lab/engine.py
@@ -35,13 +35,13 @@
 class Verdict(Enum):
     """How an engine takes a request."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FULL = "queue full"
     DRAINING = "draining"
     FALLEN = "fallen over"
     TOO_LARGE = "larger than the memory"
     ERROR = "error"
-    TWICE = "a request of this name is open"
+    DUPLICATE = "a request of this name is open"
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     at: float
     tokens: int
     done: bool
-    kept_tokens: int  # of the prompt, which need not be read
+    cached_tokens: int  # of the prompt, which need not be read
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
     def offer(self, now: float, job: Job) -> Verdict:
         """Take a request, or say why not. Nothing but TAKEN has run, or will."""
         verdict = self._judge(now, job)
-        if verdict is Verdict.TAKEN:
+        if verdict is Verdict.ACCEPTED:
             self.taken += 1
             self.waiting.append(job)
             if self.step_ends_at is None:
@@ -125,7 +125,7 @@
         if self.draining:
             return Verdict.DRAINING
         if job.name in self.running or any(w.name == job.name for w in self.waiting):
-            return Verdict.TWICE
+            return Verdict.DUPLICATE
         if job.prompt_tokens + job.output_tokens > s.memory_tokens:
             return Verdict.TOO_LARGE
         if s.fail_share and zlib.crc32(job.name.encode()) / 2**32 < s.fail_share:
@@ -135,7 +135,7 @@
         if self._falls(now, job):
             self.fall()
             return Verdict.FALLEN
-        return Verdict.TAKEN
+        return Verdict.ACCEPTED
 
     def work_s(self, job: Job) -> float:
         """Seconds of a whole warm engine that a request takes, nothing of it being kept."""
@@ -144,7 +144,7 @@
 
     def _falls(self, now: float, job: Job) -> bool:
         s = self.settings
-        share = self.share(now)
+        share = self.speed_share(now)
         if share >= 1.0:
             self._offered.clear()
             self._offered_s = 0.0
@@ -182,7 +182,7 @@
 
     # Time.
 
-    def share(self, now: float) -> float:
+    def speed_share(self, now: float) -> float:
         """Of its warm speed, that it has now."""
         s = self.settings
         if s.warm_up_s <= 0 or now >= self.started_at + s.warm_up_s:
@@ -233,7 +233,7 @@
             elif not running.unread:
                 running.new = 1
         crowd = 1.0 + s.crowd * len(self.running) / s.batch
-        took = (s.step_s * crowd + read / s.prompt_tokens_per_s) * s.slow / self.share(now)
+        took = (s.step_s * crowd + read / s.prompt_tokens_per_s) * s.slow / self.speed_share(now)
         self.step_ends_at = now + took
         self.steps += 1
 
--- a/sorreldock/lab/serving/fleet.py
+++ b/sorreldock/lab/serving/fleet.py
@@ -62,11 +62,11 @@
         self._told = trio.Event()
 
     def entries(self) -> dict[str, Any]:
-        return self.directory.whole(trio.current_time())
+        return self.directory.full_list(trio.current_time())
 
     def tell(self, uid: str, state: str) -> None:
         """Publish an engine's state; a drained engine completes what it holds."""
-        self.directory.state(trio.current_time(), uid, state)
+        self.directory.set_state(trio.current_time(), uid, state)
         if state != "Ready":
             self.engines[uid].model.drain()
         self._told.set()
@@ -161,14 +161,14 @@
         first = True
         while True:
             now, told = trio.current_time(), self._told
-            news = self.entries() if first and version == 0 else self.directory.since(now, version)
+            news = self.entries() if first and version == 0 else self.directory.changes_since(now, version)
             first = False
             if news is not None:
                 version = news["rev"]
             line = (json.dumps(news).encode() if news is not None else b"") + b"\n"
             await wire.send(h11.Data(data=line))
             wait = self.settings.discovery.keep_alive_s
-            visible = self.directory.next_at(now)
+            visible = self.directory.next_change_at(now)
             if visible is not None:
                 wait = min(wait, visible - now)
             with trio.move_on_after(wait):
--- a/sorreldock/lab/serving/host.py
+++ b/sorreldock/lab/serving/host.py
@@ -109,7 +109,7 @@
         if verdict is Verdict.FALLEN:
             for pending in self._pending.values():
                 pending.put(None)
-        if verdict is not Verdict.TAKEN:
+        if verdict is not Verdict.ACCEPTED:
             return verdict
         self.ledger.begin(key)
         self._offered.set()
--- a/sorreldock/lab/serving/http.py
+++ b/sorreldock/lab/serving/http.py
@@ -114,7 +114,7 @@
     if isinstance(pending, Verdict):
         if pending is Verdict.ERROR:
             await wire.answer(500, b"", report)
-        elif pending is Verdict.TWICE:
+        elif pending is Verdict.DUPLICATE:
             await wire.answer(409)
         elif pending is Verdict.FALLEN:
             await wire.stream.aclose()  # nobody answers on a server that lies down
@@ -140,7 +140,7 @@
                     usage = {
                         "prompt_tokens": job.prompt_tokens,
                         "completion_tokens": made,
-                        "prompt_tokens_details": {"cached_tokens": output.kept_tokens},
+                        "prompt_tokens_details": {"cached_tokens": output.cached_tokens},
                     }
                     closing = {"choices": [], "usage": usage}
                     tail = b"data: " + json.dumps(closing, separators=(",", ":")).encode() + b"\n\n"
--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -119,13 +119,13 @@
         verdict = self.model.offer(now, job)
         if verdict is Verdict.FALLEN:
             if not was:
-                share = self.model.share(now)
+                share = self.model.speed_share(now)
                 self.judge.violation(
                     "cold", f"{self.uid} was pushed over at {share:.2f} of its speed", self.host.name
                 )
             for pending in self._pending.values():
                 pending.put(None)
-        if verdict is not Verdict.TAKEN:
+        if verdict is not Verdict.ACCEPTED:
             return verdict
         made = self._pending[job.name] = Pending()
         self._drive()
@@ -265,7 +265,7 @@
             data = opening if count == 1 else b""
             data += chunk(event(count, "stop" if output.done else ""))
             if output.done:
-                cached = f'{{"cached_tokens":{output.kept_tokens}}}'
+                cached = f'{{"cached_tokens":{output.cached_tokens}}}'
                 usage = f'data: {{"choices":[],"usage":{{"prompt_tokens_details":{cached}}}}}\n\n'
                 data += chunk(usage.encode() + b"data: [DONE]\n\n")
                 data += chunk(f": Endpoint-Load-Metrics: {engine.report()}\n\n".encode()) + b"0\r\n\r\n"
--- a/sorreldock/lab/simulation/lists.py
+++ b/sorreldock/lab/simulation/lists.py
@@ -33,7 +33,7 @@
         self.wake()
 
     def state(self, uid: str, state: str) -> None:
-        self.directory.state(trio.current_time(), uid, state)
+        self.directory.set_state(trio.current_time(), uid, state)
         self.wake()
 
     def wake(self) -> None:
@@ -80,7 +80,9 @@
             else:
                 now = trio.current_time()
                 news = (
-                    self.directory.whole(now) if first and not version else self.directory.since(now, version)
+                    self.directory.full_list(now)
+                    if first and not version
+                    else self.directory.changes_since(now, version)
                 )
                 first = False
                 if news is not None:
@@ -88,7 +90,7 @@
                 line = (json.dumps(news).encode() if news is not None else b"") + b"\n"
             await sock.send_all(b"%x\r\n%b\r\n" % (len(line), line))
             wait = KEEP_ALIVE_S
-            visible = self.directory.next_at(trio.current_time())
+            visible = self.directory.next_change_at(trio.current_time())
             if visible is not None:
                 wait = min(wait, max(visible - trio.current_time(), 0.0))
             with trio.move_on_after(wait):
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -79,7 +79,7 @@
 
     def config(self) -> Config:
         world, scenario = self.world, self.world.scenario
-        known = self.discovery.directory.whole(trio.current_time())
+        known = self.discovery.directory.full_list(trio.current_time())
         world.judge.list_given(self.name, known["targets"], True)
         settings = decode_settings(world.settings(self.index))
         kserve = Kserve(f"{self.host.address}:{GRPC_PORT}", ("desc",), "alt-text", "acme", 5.0)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,15 +41,15 @@
 
 def test_a_prompt_is_read_in_chunks_and_then_each_step_gives_a_token() -> None:
     engine = Engine(PLAIN)
-    assert engine.offer(0.0, job("a", prompt=150)) is Verdict.TAKEN
+    assert engine.offer(0.0, job("a", prompt=150)) is Verdict.ACCEPTED
     assert run(engine) == {"a": [0.17, 0.18, 0.19]}  # 0.1 + 0.01, then 0.05 + 0.01: the first token
 
 
 def test_batch_queue_and_memory_are_bounds() -> None:
     engine = Engine(PLAIN)
     said = [engine.offer(0.0, job(name)) for name in "abcd"]
-    assert said == [Verdict.TAKEN] * 3 + [Verdict.TAKEN]  # one runs, the others wait for the next step
-    assert engine.offer(0.0, job("a")) is Verdict.TWICE
+    assert said == [Verdict.ACCEPTED] * 3 + [Verdict.ACCEPTED]  # one runs, the others wait for the next step
+    assert engine.offer(0.0, job("a")) is Verdict.DUPLICATE
     engine.advance(0.11)
     assert len(engine.running) == 2 and engine.offer(0.12, job("e")) is Verdict.FULL
     assert engine.offer(0.12, job("f", prompt=2000)) is Verdict.TOO_LARGE
@@ -75,7 +75,7 @@
     tight = Engine(EngineSettings(memory_tokens=200, step_s=0.01, prompt_tokens_per_s=1000.0, crowd=0.0))
     for now, opening in enumerate("xyzx"):
         tight.offer(float(now), job(f"{now}", prompt=100, output=1, opening=opening, opening_tokens=90))
-        kept = [o.kept_tokens for o in tight.advance(now + 0.9)]
+        kept = [o.cached_tokens for o in tight.advance(now + 0.9)]
     assert kept == [0]
 
 
@@ -91,14 +91,18 @@
         fall_window_s=1.0,
     )
     engine = Engine(cold, started_at=0.0)
-    assert engine.share(0.0) == 0.1 and engine.share(5.0) == pytest.approx(0.55) and engine.share(10.0) == 1.0
-    assert engine.offer(0.0, job("a", prompt=90, output=1)) is Verdict.TAKEN
+    assert (
+        engine.speed_share(0.0) == 0.1
+        and engine.speed_share(5.0) == pytest.approx(0.55)
+        and engine.speed_share(10.0) == 1.0
+    )
+    assert engine.offer(0.0, job("a", prompt=90, output=1)) is Verdict.ACCEPTED
     assert engine.next_at() == pytest.approx(1.0)  # ten times slower than 0.09 + 0.01
-    assert engine.offer(0.0, job("b", prompt=90, output=1)) is Verdict.TAKEN
+    assert engine.offer(0.0, job("b", prompt=90, output=1)) is Verdict.ACCEPTED
     assert engine.offer(0.5, job("c", prompt=200, output=1)) is Verdict.FALLEN
     assert engine.fallen and engine.offer(9.0, job("d")) is Verdict.FALLEN and engine.next_at() is None
     warm = Engine(cold)
-    assert [warm.offer(0.0, job(str(n), prompt=500)) for n in range(4)] == [Verdict.TAKEN] * 4
+    assert [warm.offer(0.0, job(str(n), prompt=500)) for n in range(4)] == [Verdict.ACCEPTED] * 4
 
 
 def test_failures_are_the_same_for_the_same_names_and_reports_lag() -> None:
@@ -117,17 +121,17 @@
     directory = Directory(late_s=1.0)
     directory.publish(0.0, Entry("a", "h:1", "z"))
     directory.publish(0.5, Entry("b", "h:2", "z"))
-    directory.state(0.9, "a", "Terminating")
-    assert directory.whole(0.9)["targets"] == [] and directory.since(0.9, 0) is None
-    assert directory.next_at(0.9) == 1.0
-    assert [t["uid"] for t in directory.whole(1.5)["targets"]] == ["a", "b"]
-    assert directory.since(1.5, 1)["targets"][0]["uid"] == "b"  # type: ignore[index]
-    assert directory.whole(2.0)["targets"][0]["state"] == "Terminating"
-    directory.state(2.0, "a", "Gone")
-    assert [t["uid"] for t in directory.whole(3.0)["targets"]] == ["b"]
-    assert directory.since(3.0, 99)["all"]  # type: ignore[index]
+    directory.set_state(0.9, "a", "Terminating")
+    assert directory.full_list(0.9)["targets"] == [] and directory.changes_since(0.9, 0) is None
+    assert directory.next_change_at(0.9) == 1.0
+    assert [t["uid"] for t in directory.full_list(1.5)["targets"]] == ["a", "b"]
+    assert directory.changes_since(1.5, 1)["targets"][0]["uid"] == "b"  # type: ignore[index]
+    assert directory.full_list(2.0)["targets"][0]["state"] == "Terminating"
+    directory.set_state(2.0, "a", "Gone")
+    assert [t["uid"] for t in directory.full_list(3.0)["targets"]] == ["b"]
+    assert directory.changes_since(3.0, 99)["all"]  # type: ignore[index]
     with pytest.raises(KeyError):
-        directory.state(3.0, "c", "Gone")
+        directory.set_state(3.0, "c", "Gone")
     with pytest.raises(ValueError):
         directory.publish(3.0, Entry("c", "h:3", "z", state="Lost"))
 
