--- a/sorreldock/lab/reconnect.py
+++ b/sorreldock/lab/reconnect.py
@@ -203,7 +203,7 @@
     router.start()
 
 
-async def play(
+async def run_side(
     file: Path, settings: FleetSettings, plan: Plan, kind: str, say: Callable[[str], None]
 ) -> Side:
     """One side, on a fleet and routers of its own."""
@@ -230,7 +230,7 @@
     """Both sides, one after the other, on the same schedule."""
     out = {}
     for kind in ("library", "naive"):
-        out[kind] = (await play(file, settings, plan, kind, say)).figures()
+        out[kind] = (await run_side(file, settings, plan, kind, say)).figures()
     return out
 
 
--- a/sorreldock/lab/soak/__init__.py
+++ b/sorreldock/lab/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A randomized soak: real router processes under faults that overlap in time, and the rules as its oracle.
+"""A randomized soak test: router processes under overlapping faults, checked against the platform's rules.
 
-`servers` are stand-ins with their discovery, `clients` send requests and note what comes of them, `faults`
-draws a plan from a seed, `system_calls` makes calls of a router process fail, `invariants` judges the
-notes, and `runner` plays all of it on loopback.
+`servers` has emulated servers and their discovery, `clients` sends requests and records their outcomes,
+`faults` draws a plan from a seed, `system_calls` makes system calls of a router process fail, `invariants`
+checks the records, and `runner` runs all of it on loopback.
 """
--- a/sorreldock/lab/soak/clients.py
+++ b/sorreldock/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""The soak's clients: each request is written as a device would, and what came of it is noted."""
+"""The soak's clients, which send requests to the routers and record their outcomes."""
 
 from __future__ import annotations
 
@@ -12,85 +12,85 @@
 
 from .records import Exchange, Records
 
-PATIENCE_S = 3.0  # past its own time a client waits so long for what is late, to note it
+LATE_ANSWER_WAIT_S = 3.0  # after its time limit, a client still records a late answer for this long
 PATH = "/v1/chat/completions"
 
 
-class Habit(Enum):
-    """How a client treats its connection and its request."""
+class ClientBehaviour(Enum):
+    """How a client uses its connection and sends its request."""
 
-    PLAIN = "plain"  # a connection a request
-    KEEPS = "keeps"  # one connection for all
-    LEAVES = "leaves"  # closes before its answer
-    SLOW = "slow"  # writes its request in pieces
+    ONE_SHOT = "plain"  # one connection per request
+    KEEP_ALIVE = "keeps"  # one connection for all requests
+    ABANDONS = "leaves"  # closes the connection before the answer
+    SLOW_WRITER = "slow"  # writes the request in pieces, with pauses
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """What a client sends: sizes in bytes, times in seconds."""
+class RequestPlan:
+    """The content and the timing of a request; times are in seconds."""
 
     request_class: str
-    budget_s: float
+    timeout_s: float
     body: bytes
     session: str
     prefix: str
-    leaves_after_s: float = 0.0
+    abandon_after_s: float = 0.0
     pieces: int = 1
-    between_pieces_s: float = 0.0
+    piece_interval_s: float = 0.0
 
 
-class Wire:
-    """A client's end of one connection."""
+class ClientConnection:
+    """The client's end of a connection."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self.parser = h11.Connection(h11.CLIENT)
 
-    async def send(self, trace_id: str, demand: Demand) -> None:
-        """Write a whole request."""
+    async def send(self, trace_id: str, plan: RequestPlan) -> None:
+        """Write a whole request, in the planned number of pieces."""
         request = h11.Request(
             method="POST",
             target=PATH,
             headers=[
                 ("host", "origin.svc"),
                 ("x-trace-id", trace_id),
-                ("x-qos", demand.request_class),
+                ("x-qos", plan.request_class),
                 ("x-customer", "acme"),
-                ("x-expires-in", f"{round(demand.budget_s * 1000)}m"),
-                ("x-object", demand.session),
-                ("x-props", f"prefix={demand.prefix},prompt_len=100,prefix_len=50,max_out=10"),
-                ("content-length", str(len(demand.body))),
+                ("x-expires-in", f"{round(plan.timeout_s * 1000)}m"),
+                ("x-object", plan.session),
+                ("x-props", f"prefix={plan.prefix},prompt_len=100,prefix_len=50,max_out=10"),
+                ("content-length", str(len(plan.body))),
             ],
         )
-        data = (self.parser.send(request) or b"") + (self.parser.send(h11.Data(data=demand.body)) or b"")
+        data = (self.parser.send(request) or b"") + (self.parser.send(h11.Data(data=plan.body)) or b"")
         data += self.parser.send(h11.EndOfMessage()) or b""
-        size = -(-len(data) // demand.pieces)
+        size = -(-len(data) // plan.pieces)
         for start in range(0, len(data), size):
             if start:
-                await trio.sleep(demand.between_pieces_s)
+                await trio.sleep(plan.piece_interval_s)
             await self.stream.send_all(data[start : start + size])
 
-    async def next(self) -> Any:
-        """Return the parser's next event."""
+    async def next_event(self) -> Any:
+        """Return the parser's next event, reading from the connection as needed."""
         while (event := self.parser.next_event()) is h11.NEED_DATA:
             self.parser.receive_data(bytes(await self.stream.receive_some(65536)))
         return event
 
-    async def answer(self, exchange: Exchange) -> None:
-        """Read an answer to its end, or to that of the connection."""
+    async def read_answer(self, exchange: Exchange) -> None:
+        """Read an answer into `exchange`, to the end of the answer or of the connection."""
         try:
-            head = await self.next()
+            head = await self.next_event()
             if not isinstance(head, h11.Response):
                 return
-            exchange.first_at, exchange.status = trio.current_time(), head.status_code
-            while isinstance(event := await self.next(), h11.Data):
+            exchange.head_received_at, exchange.status = trio.current_time(), head.status_code
+            while isinstance(event := await self.next_event(), h11.Data):
                 exchange.body += bytes(event.data)
-            exchange.whole = isinstance(event, h11.EndOfMessage)
+            exchange.is_complete = isinstance(event, h11.EndOfMessage)
         except (h11.RemoteProtocolError, trio.BrokenResourceError):
             pass
 
-    def reusable(self) -> bool:
-        """Make ready for the next request; False if the connection has ended."""
+    def prepare_next_request(self) -> bool:
+        """Reset the parser for the next request; return False if the connection can't carry one."""
         if self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE:
             return False
         self.parser.start_next_cycle()
@@ -98,80 +98,84 @@
 
 
 class Client:
-    """One client of one router, with a connection that it may keep."""
+    """A client of one router, which may reuse its connection."""
 
     def __init__(self, router: str, address: str, records: Records) -> None:
         self.router = router
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self._records = records
-        self._kept: Wire | None = None
-
-    async def ask(self, trace_id: str, demand: Demand, keep: bool = False) -> Exchange | None:
-        """Send a request and note its end; None where no connection came up."""
-        kept, self._kept = self._kept, None
-        exchange = Exchange(trace_id, self.router, demand.budget_s, begun_at=trio.current_time())
-        if kept is not None:
-            await self._over(kept, exchange, demand, keep)
-            if not self._crossed_the_end(exchange):
+        self._idle_connection: ClientConnection | None = None
+
+    async def send_request(
+        self, trace_id: str, plan: RequestPlan, keep_alive: bool = False
+    ) -> Exchange | None:
+        """Send a request and record its outcome; return None if the router couldn't be connected to."""
+        reused, self._idle_connection = self._idle_connection, None
+        exchange = Exchange(trace_id, self.router, plan.timeout_s, started_at=trio.current_time())
+        if reused is not None:
+            await self._exchange_on(reused, exchange, plan, keep_alive)
+            if not self._closed_before_read(exchange):
                 return exchange
             self._records.exchanges.remove(exchange)
             exchange = replace(
-                exchange, resent=True, sent_at=0.0, ended_at=None, begun_at=trio.current_time()
+                exchange, resent=True, sent_at=0.0, ended_at=None, started_at=trio.current_time()
             )
         try:
-            wire = Wire(await trio.open_tcp_stream(self._host, self._port))
+            connection = ClientConnection(await trio.open_tcp_stream(self._host, self._port))
         except OSError:
             return None
-        await self._over(wire, exchange, demand, keep)
+        await self._exchange_on(connection, exchange, plan, keep_alive)
         return exchange
 
-    def _crossed_the_end(self, exchange: Exchange) -> bool:
-        """Tell whether the router ended a resting connection without reading the request, which it may."""
-        ended_unanswered = exchange.status == 0 and exchange.ended_at is not None
-        return ended_unanswered and not any(
-            a.trace_id == exchange.trace_id for a in self._records.arrivals[-200:]
+    def _closed_before_read(self, exchange: Exchange) -> bool:
+        """Return whether the router closed an idle connection without reading the request, as it may."""
+        has_ended_unanswered = exchange.status == 0 and exchange.ended_at is not None
+        return has_ended_unanswered and not any(
+            a.trace_id == exchange.trace_id for a in self._records.attempts[-200:]
         )
 
-    async def _over(self, wire: Wire, exchange: Exchange, demand: Demand, keep: bool) -> None:
+    async def _exchange_on(
+        self, connection: ClientConnection, exchange: Exchange, plan: RequestPlan, keep_alive: bool
+    ) -> None:
         self._records.exchanges.append(exchange)
         exchange.sent_at = trio.current_time()
-        with trio.move_on_after(demand.leaves_after_s or demand.budget_s + PATIENCE_S) as patience:
+        with trio.move_on_after(plan.abandon_after_s or plan.timeout_s + LATE_ANSWER_WAIT_S) as time_limit:
             try:
-                await wire.send(exchange.trace_id, demand)
+                await connection.send(exchange.trace_id, plan)
                 exchange.sent_at = trio.current_time()
-                await wire.answer(exchange)
+                await connection.read_answer(exchange)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
         now = trio.current_time()
-        if patience.cancelled_caught and demand.leaves_after_s:
-            exchange.left_at = now
-        elif not patience.cancelled_caught:
+        if time_limit.cancelled_caught and plan.abandon_after_s:
+            exchange.abandoned_at = now
+        elif not time_limit.cancelled_caught:
             exchange.ended_at = now
-        if keep and exchange.whole and wire.reusable():
-            self._kept = wire
+        if keep_alive and exchange.is_complete and connection.prepare_next_request():
+            self._idle_connection = connection
         else:
-            await trio.aclose_forcefully(wire.stream)
-
-    async def leave(self) -> None:
-        """Close the connection that was kept."""
-        if self._kept is not None:
-            await trio.aclose_forcefully(self._kept.stream)
-            self._kept = None
-
-
-def draw_demand(habit: Habit, draw: random.Random, number: int) -> Demand:
-    """Draw a request: mostly small and cacheable, some large, some with very little time."""
-    budget_s = draw.choice((0.5, 1.5, 2.0, 3.0))
-    body = b"{" + b" " * draw.choice((10, 2_000, 60_000, 200_000)) + b"}"
-    slow = habit is Habit.SLOW
-    return Demand(
-        request_class=draw.choice(("alt-text", "title-suggest")),
-        budget_s=budget_s,
+            await trio.aclose_forcefully(connection.stream)
+
+    async def close(self) -> None:
+        """Close the idle connection, if there is one."""
+        if self._idle_connection is not None:
+            await trio.aclose_forcefully(self._idle_connection.stream)
+            self._idle_connection = None
+
+
+def draw_request(behaviour: ClientBehaviour, rng: random.Random, number: int) -> RequestPlan:
+    """Draw a request: mostly small and cacheable, some large, some with a very short time limit."""
+    timeout_s = rng.choice((0.5, 1.5, 2.0, 3.0))
+    body = b"{" + b" " * rng.choice((10, 2_000, 60_000, 200_000)) + b"}"
+    is_slow = behaviour is ClientBehaviour.SLOW_WRITER
+    return RequestPlan(
+        request_class=rng.choice(("alt-text", "title-suggest")),
+        timeout_s=timeout_s,
         body=body,
-        session=f"session-{draw.randrange(200)}",
-        prefix=f"prefix-{draw.randrange(40)}" if draw.random() < 0.7 else f"once-{number}",
-        leaves_after_s=draw.uniform(0.01, 0.3) if habit is Habit.LEAVES else 0.0,
-        pieces=draw.randint(2, 5) if slow else 1,
-        between_pieces_s=draw.uniform(0.01, 0.2) if slow else 0.0,
+        session=f"session-{rng.randrange(200)}",
+        prefix=f"prefix-{rng.randrange(40)}" if rng.random() < 0.7 else f"once-{number}",
+        abandon_after_s=rng.uniform(0.01, 0.3) if behaviour is ClientBehaviour.ABANDONS else 0.0,
+        pieces=rng.randint(2, 5) if is_slow else 1,
+        piece_interval_s=rng.uniform(0.01, 0.2) if is_slow else 0.0,
     )
--- a/sorreldock/lab/soak/faults.py
+++ b/sorreldock/lab/soak/faults.py
@@ -7,35 +7,38 @@
 from enum import Enum
 
 
-class Kind(Enum):
-    """What goes wrong."""
+class FaultKind(Enum):
+    """A kind of fault; the value is printed in the plan of a run."""
 
-    SERVERS_FAIL = "servers_fail"  # a share of the requests meets a fault at its server
-    SERVERS_DRAIN = "servers_drain"  # some are told to end, and come back as new ones
+    SERVERS_FAIL = "servers_fail"  # the servers answer a share of the requests with a fault
+    SERVERS_DRAIN = "servers_drain"  # some servers are withdrawn and then removed from the list
     DISCOVERY_DOWN = "discovery_down"
-    LIST_CHANGES = "list_changes"  # many small changes in a row
-    RESTART = "restart"  # SIGTERM, SIGKILL as early as it may come, a new process
-    KILL = "kill"  # SIGKILL, a new process
+    LIST_CHANGES = "list_changes"  # many small changes of the server list in a row
+    RESTART = "restart"  # SIGTERM, SIGKILL at the earliest time allowed, then a new process
+    KILL = "kill"  # SIGKILL, then a new process
     RELOAD = "reload"  # SIGHUP, some in quick succession
-    HOLD_UP = "hold_up"  # SIGSTOP for a moment
+    SUSPEND = "hold_up"  # SIGSTOP, and SIGCONT shortly after
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """One fault: when it begins and how long it lasts, in seconds; what it hits is drawn from `seed`."""
+class PlannedFault:
+    """A fault with its start and duration in seconds, and the seed from which its targets are drawn.
+
+    The names of the fields are keys of the printed plan.
+    """
 
     at: float
     lasts: float
-    kind: Kind
+    kind: FaultKind
     seed: int
 
 
-def draw_plan(seed: int, span_s: float, per_s: float) -> list[Trouble]:
-    """Draw a plan with so many faults a second in the mean; they overlap as they come."""
-    draw = random.Random(seed)
-    plan: list[Trouble] = []
+def draw_plan(seed: int, span_s: float, faults_per_s: float) -> list[PlannedFault]:
+    """Draw a plan with a mean rate of `faults_per_s`; the faults may overlap in time."""
+    rng = random.Random(seed)
+    plan: list[PlannedFault] = []
     at = 1.0
-    while (at := at + draw.expovariate(per_s)) < span_s - 1.0:
-        kind = draw.choice(list(Kind))
-        plan.append(Trouble(at, draw.uniform(0.5, 4.0), kind, draw.getrandbits(32)))
+    while (at := at + rng.expovariate(faults_per_s)) < span_s - 1.0:
+        kind = rng.choice(list(FaultKind))
+        plan.append(PlannedFault(at, rng.uniform(0.5, 4.0), kind, rng.getrandbits(32)))
     return plan
--- a/sorreldock/lab/soak/invariants.py
+++ b/sorreldock/lab/soak/invariants.py
@@ -1,152 +1,167 @@
-"""The rules of the platform as checks on a run's records. Each break is a line of text for the report."""
+"""The platform's rules as checks of a run's records; each break of a rule is one line of text."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from itertools import pairwise
 
-from .records import Arrival, Exchange, Life, Records
+from .records import Exchange, ProcessRun, ReceivedAttempt, Records
 
-LATE_S = 0.5  # after its time an answer only earns nothing; later it is lost
-LEFT_S = 0.1  # an attempt may begin so long after its client left
-DRAIN_S = 0.25  # after the notice
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-TOLD_SLACK_S = 0.15  # a server may be told so much more time than its client has
-CLOSE_S = 0.02  # by which a server may hear of a connection's end after its successor's beginning
-KILL_GRACE_S = 0.7  # what came so much later than SIGTERM is not excused by SIGKILL
+ANSWER_SLACK_S = 0.5  # an answer this long after its time limit has no value, a later one counts as lost
+CANCEL_LAG_S = 0.1  # an attempt may still begin this long after its client closed the connection
+DRAIN_GRACE_S = 0.25  # after the notification of the router
+NOTIFICATION_S = 6.0  # a router must know of a change this long after it is in a reachable discovery
+TIMEOUT_SLACK_S = 0.15  # by which a server's time limit may exceed the time that the client has left
+CLOSE_LAG_S = 0.02  # a server may see the end of a connection this long after the next attempt has begun
+KILL_GRACE_S = 0.7  # requests sent later than this after SIGTERM are not excused by SIGKILL
 
 
-def breaks(records: Records) -> list[str]:
-    """Return a line for each break of a rule; times are widened by what the harness itself ran late."""
-    slack = records.longest_lag_s
-    by_id: dict[str, list[Arrival]] = defaultdict(list)
-    for arrival in records.arrivals:
-        by_id[arrival.trace_id].append(arrival)
-    found: list[str] = []
+def find_breaks(records: Records) -> list[str]:
+    """Return a line for each break of a rule; time limits are extended by the lag of this process."""
+    slack = records.max_lag_s
+    by_id: dict[str, list[ReceivedAttempt]] = defaultdict(list)
+    for attempt in records.attempts:
+        by_id[attempt.trace_id].append(attempt)
+    broken_rules: list[str] = []
     for exchange in records.exchanges:
-        arrivals = by_id[exchange.trace_id]
-        if not excused(exchange, records.lives):
-            found += unanswered(exchange, slack)
-            found += wrong(exchange, arrivals)
-        found += sent_for_nobody(exchange, arrivals, slack)
-        found += told_too_much(exchange, arrivals, slack)
-    for arrivals in by_id.values():
-        found += overlapping(arrivals, slack)
-    found += drained(records, slack)
-    found += [
-        f"crash: {life.router} ended with status {life.status}" for life in records.lives if crashed(life)
+        attempts = by_id[exchange.trace_id]
+        if not is_excused(exchange, records.process_runs):
+            broken_rules += check_answered(exchange, slack)
+            broken_rules += check_body(exchange, attempts)
+        broken_rules += check_not_sent_after_close(exchange, attempts, slack)
+        broken_rules += check_timeouts(exchange, attempts, slack)
+    for attempts in by_id.values():
+        broken_rules += check_no_overlap(attempts, slack)
+    broken_rules += check_drains(records, slack)
+    broken_rules += [
+        f"crash: {run.router} exited with status {run.status}"
+        for run in records.process_runs
+        if has_crashed(run)
     ]
-    return found
+    return broken_rules
 
 
-def excused(exchange: Exchange, lives: list[Life]) -> bool:
-    """Tell whether the router was killed under the request, which had come before the end of its grace."""
-    for life in lives:
-        if life.router != exchange.router or life.killed_at is None:
+def is_excused(exchange: Exchange, process_runs: list[ProcessRun]) -> bool:
+    """Return whether SIGKILL ended the router during a request that was sent before the end of its grace."""
+    for run in process_runs:
+        if run.router != exchange.router or run.killed_at is None:
             continue
-        asked_in_time = life.told_to_end_at is None or exchange.sent_at <= life.told_to_end_at + KILL_GRACE_S
+        sent_in_time = run.terminated_at is None or exchange.sent_at <= run.terminated_at + KILL_GRACE_S
         ended_at = exchange.ended_at if exchange.ended_at is not None else float("inf")
-        died_at = life.ended_at if life.ended_at is not None else life.killed_at
-        under_it = life.started_at <= exchange.begun_at <= died_at and life.killed_at <= ended_at + CLOSE_S
-        if under_it and asked_in_time:
+        exited_at = run.ended_at if run.ended_at is not None else run.killed_at
+        was_open = (
+            run.started_at <= exchange.started_at <= exited_at and run.killed_at <= ended_at + CLOSE_LAG_S
+        )
+        if was_open and sent_in_time:
             return True
     return False
 
 
-def unanswered(exchange: Exchange, slack: float) -> list[str]:
-    """Check that a final answer came in time, or that the client left first."""
-    if exchange.left_at is not None:
+def check_answered(exchange: Exchange, slack: float) -> list[str]:
+    """Check that an answer was received in time, unless the client closed its connection first."""
+    if exchange.abandoned_at is not None:
         return []
     name = f"lost: {exchange.trace_id} at {exchange.router}"
     if exchange.ended_at is None and exchange.status == 0:
-        return [f"{name}: no answer {LATE_S} s after its time"]
+        return [f"{name}: no answer {ANSWER_SLACK_S} s after its time limit"]
     if exchange.status == 0:
-        return [f"{name}: its connection ended with no answer"]
-    assert exchange.first_at is not None
-    took_s = exchange.first_at - exchange.sent_at
-    if took_s > exchange.budget_s + LATE_S + slack:
-        return [f"{name}: answered {took_s:.2f} s after it was sent, its time was {exchange.budget_s} s"]
+        return [f"{name}: its connection was closed without an answer"]
+    assert exchange.head_received_at is not None
+    took_s = exchange.head_received_at - exchange.sent_at
+    if took_s > exchange.timeout_s + ANSWER_SLACK_S + slack:
+        return [
+            f"{name}: answered {took_s:.2f} s after it was sent, its time limit was {exchange.timeout_s} s"
+        ]
     return []
 
 
-def wrong(exchange: Exchange, arrivals: list[Arrival]) -> list[str]:
-    """Check that what was served is what a server wrote, whole where the server ended it."""
-    if exchange.status != 200 or exchange.left_at is not None:
+def check_body(exchange: Exchange, attempts: list[ReceivedAttempt]) -> list[str]:
+    """Check that the answer is one that a server sent, and complete only if the server completed it."""
+    if exchange.status != 200 or exchange.abandoned_at is not None:
         return []
     name = f"lost: {exchange.trace_id} at {exchange.router}"
-    if not any(arrival.served.startswith(exchange.body) for arrival in arrivals):
-        return [f"{name}: served with what no server wrote"]
-    if exchange.whole and not any(a.served == exchange.body and not a.broken for a in arrivals):
-        return [f"{name}: a broken stream was ended as whole"]
-    if not exchange.whole and not any(a.broken for a in arrivals):
-        return [f"{name}: the stream was cut off, and no server broke it"]
+    if not any(attempt.sent_body.startswith(exchange.body) for attempt in attempts):
+        return [f"{name}: the answer was sent by no server"]
+    if exchange.is_complete and not any(a.sent_body == exchange.body and not a.was_cut_off for a in attempts):
+        return [f"{name}: a stream that its server cut off was ended as a complete one"]
+    if not exchange.is_complete and not any(a.was_cut_off for a in attempts):
+        return [f"{name}: the stream was cut off, but by no server"]
     return []
 
 
-def sent_for_nobody(exchange: Exchange, arrivals: list[Arrival], slack: float) -> list[str]:
-    """Check that nothing began for a client that had left."""
-    if exchange.left_at is None:
+def check_not_sent_after_close(
+    exchange: Exchange, attempts: list[ReceivedAttempt], slack: float
+) -> list[str]:
+    """Check that no attempt began after the client had closed its connection."""
+    if exchange.abandoned_at is None:
         return []
-    late = [a.begun_at - exchange.left_at for a in arrivals if a.begun_at > exchange.left_at + LEFT_S + slack]
-    return [f"lost: {exchange.trace_id} was sent {s:.2f} s after its client left" for s in late]
-
-
-def told_too_much(exchange: Exchange, arrivals: list[Arrival], slack: float) -> list[str]:
-    """Check the time that servers were given against what the client had left."""
-    found = []
-    for arrival in arrivals:
-        left_s = exchange.sent_at + exchange.budget_s - arrival.begun_at
-        if arrival.told_s > max(left_s, 0.0) + TOLD_SLACK_S + slack:
-            found.append(
-                f"told: {exchange.trace_id} was given {arrival.told_s:.2f} s, {left_s:.2f} s were left"
+    delays_s = [
+        a.received_at - exchange.abandoned_at
+        for a in attempts
+        if a.received_at > exchange.abandoned_at + CANCEL_LAG_S + slack
+    ]
+    return [
+        f"lost: {exchange.trace_id} was sent {s:.2f} s after its client closed the connection"
+        for s in delays_s
+    ]
+
+
+def check_timeouts(exchange: Exchange, attempts: list[ReceivedAttempt], slack: float) -> list[str]:
+    """Check that the time limits sent to servers are not above the time that the client has left."""
+    broken_rules = []
+    for attempt in attempts:
+        left_s = exchange.sent_at + exchange.timeout_s - attempt.received_at
+        if attempt.timeout_s > max(left_s, 0.0) + TIMEOUT_SLACK_S + slack:
+            broken_rules.append(
+                f"told: {exchange.trace_id} was sent with {attempt.timeout_s:.2f} s, {left_s:.2f} s were left"
             )
-    return found
+    return broken_rules
 
 
-def overlapping(arrivals: list[Arrival], slack: float) -> list[str]:
-    """Check that no two attempts of a request were out at once."""
-    in_order = sorted(arrivals, key=lambda arrival: arrival.begun_at)
+def check_no_overlap(attempts: list[ReceivedAttempt], slack: float) -> list[str]:
+    """Check that no two attempts of a request were open at the same time."""
+    in_order = sorted(attempts, key=lambda attempt: attempt.received_at)
     return [
-        f"duplicate: {later.trace_id} was at {earlier.server} and {later.server} at once"
+        f"duplicate: {later.trace_id} was open at {earlier.server} and {later.server} at the same time"
         for earlier, later in pairwise(in_order)
-        if earlier.ended_at is None or later.begun_at < earlier.ended_at - CLOSE_S - slack
+        if earlier.ended_at is None or later.received_at < earlier.ended_at - CLOSE_LAG_S - slack
     ]
 
 
-def drained(records: Records, slack: float) -> list[str]:
-    """Check that nothing new went to a server after the notice of its end."""
+def check_drains(records: Records, slack: float) -> list[str]:
+    """Check that no attempt was sent to a server after the router was notified of its withdrawal."""
     routers = {exchange.trace_id: exchange.router for exchange in records.exchanges}
-    found = []
-    for arrival in records.arrivals:
-        router = routers.get(arrival.trace_id)
-        if router is None or arrival.server not in records.ending_since:
+    broken_rules = []
+    for attempt in records.attempts:
+        router = routers.get(attempt.trace_id)
+        if router is None or attempt.server not in records.withdrawn_at:
             continue
-        late_s = arrival.begun_at - told_at(records, router, arrival)
-        if late_s > DRAIN_S + slack:
-            found.append(
-                f"drain: {arrival.trace_id} went to {arrival.server} {late_s:.2f} s after the notice"
+        late_s = attempt.received_at - notification_time(records, router, attempt)
+        if late_s > DRAIN_GRACE_S + slack:
+            broken_rules.append(
+                f"drain: {attempt.trace_id} was sent to {attempt.server} {late_s:.2f} s after the notice"
             )
-    return found
+    return broken_rules
 
 
-def told_at(records: Records, router: str, arrival: Arrival) -> float:
-    """Return when a server's end counts as told to the process that sent this."""
-    since = records.ending_since[arrival.server]
-    starts = [life.started_at for life in records.lives if life.router == router]
-    started_at = max((at for at in starts if at <= arrival.begun_at), default=0.0)
+def notification_time(records: Records, router: str, attempt: ReceivedAttempt) -> float:
+    """Return when the process that sent this attempt must have known of the server's withdrawal."""
+    since = records.withdrawn_at[attempt.server]
+    starts = [run.started_at for run in records.process_runs if run.router == router]
+    started_at = max((at for at in starts if at <= attempt.received_at), default=0.0)
     reachable_at = max(since, started_at)
     for began, end in sorted(records.outages, key=lambda outage: outage[0]):
-        # A call in the last seconds before an outage may have failed in it.
-        if began <= reachable_at + TOLD_S and (end is None or end > reachable_at):
+        # A call to discovery in the last seconds before an outage may have failed in it.
+        if began <= reachable_at + NOTIFICATION_S and (end is None or end > reachable_at):
             reachable_at = max(reachable_at, end if end is not None else float("inf"))
-    written_at = records.told.get((router, arrival.server))
+    written_at = records.notified_at.get((router, attempt.server))
     if written_at is not None and written_at >= started_at:
-        return min(written_at, reachable_at + TOLD_S)
-    return reachable_at + TOLD_S
+        return min(written_at, reachable_at + NOTIFICATION_S)
+    return reachable_at + NOTIFICATION_S
 
 
-def crashed(life: Life) -> bool:
-    """Tell whether a process ended in a way that nobody asked for."""
-    if life.status is None or life.killed_at is not None:
+def has_crashed(run: ProcessRun) -> bool:
+    """Return whether a process exited without a signal, or with a status other than 0 after SIGTERM."""
+    if run.status is None or run.killed_at is not None:
         return False
-    return life.told_to_end_at is None or life.status != 0
+    return run.terminated_at is None or run.status != 0
--- a/sorreldock/lab/soak/records.py
+++ b/sorreldock/lab/soak/records.py
@@ -1,4 +1,4 @@
-"""What the soak's clients and servers note, for the invariants. Times are trio's, in seconds."""
+"""Records of the soak's clients, servers and router processes; times are trio's, in seconds."""
 
 from __future__ import annotations
 
@@ -7,56 +7,58 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request as its client saw it."""
+    """One request and its answer as seen by the client."""
 
     trace_id: str
     router: str
-    budget_s: float  # how long the client waits for the first event, from the request's last byte
+    timeout_s: float  # for the first event, from the request's last byte
     repeatable: bool = True
-    resent: bool = False  # once more, since a resting connection ended under it
-    begun_at: float = 0.0  # its client began to connect, or to write on a connection that it had kept
-    sent_at: float = 0.0  # its last byte was written
-    left_at: float | None = None  # the client closed its connection first
-    first_at: float | None = None  # the answer's head came
-    ended_at: float | None = None  # the answer's last byte, or the connection's end
-    status: int = 0  # of the answer; 0: none came
-    whole: bool = False
+    resent: bool = False  # sent again because the idle connection used first was closed
+    started_at: float = 0.0  # start of connecting, or of writing on a kept connection
+    sent_at: float = 0.0  # the request's last byte was written
+    abandoned_at: float | None = None  # the client closed the connection before the answer was complete
+    head_received_at: float | None = None  # the answer's header section was received
+    ended_at: float | None = None  # end of the answer or of the connection
+    status: int = 0  # of the answer; 0 without one
+    is_complete: bool = False
     body: bytes = b""
 
 
 @dataclass(slots=True)
-class Arrival:
-    """One attempt as a stand-in server saw it."""
+class ReceivedAttempt:
+    """One attempt as received by an emulated server."""
 
     trace_id: str
     server: str
-    begun_at: float  # its first byte was read
-    told_s: float  # the time that it was given
-    ended_at: float | None = None  # answered, or its connection ended
-    broken: bool = False  # the server itself ended the stream before its end
-    served: bytes = b""  # the events written
+    received_at: float  # the first byte was read
+    timeout_s: float  # the time limit in the request
+    ended_at: float | None = None  # end of the answer or of the connection
+    was_cut_off: bool = False  # the server closed the connection in the middle of the answer
+    sent_body: bytes = b""  # the events that were written
 
 
 @dataclass(slots=True)
-class Life:
-    """One router process from its start to its end."""
+class ProcessRun:
+    """One router process from start to exit."""
 
     router: str
     started_at: float
-    told_to_end_at: float | None = None  # SIGTERM
-    killed_at: float | None = None  # SIGKILL was sent; until `ended_at` the kernel may still accept for it
+    terminated_at: float | None = None  # SIGTERM was sent
+    killed_at: float | None = None  # SIGKILL was sent; the kernel may accept connections until `ended_at`
     ended_at: float | None = None
-    status: int | None = None  # of its exit
+    status: int | None = None  # exit status; negative: the number of the signal
 
 
 @dataclass(slots=True)
 class Records:
-    """All that was noted in one run."""
+    """All records of one run."""
 
     exchanges: list[Exchange] = field(default_factory=list)
-    arrivals: list[Arrival] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    ending_since: dict[str, float] = field(default_factory=dict)  # by server: discovery had it
-    told: dict[tuple[str, str], float] = field(default_factory=dict)  # by router and server: it was written
-    outages: list[tuple[float, float | None]] = field(default_factory=list)  # of discovery
-    longest_lag_s: float = 0.0  # by which the harness itself ran late
+    attempts: list[ReceivedAttempt] = field(default_factory=list)
+    process_runs: list[ProcessRun] = field(default_factory=list)
+    withdrawn_at: dict[str, float] = field(default_factory=dict)  # by server: time of the change in discovery
+    # By router and server: when the withdrawal was written to the watch.
+    notified_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    # Start and end of each outage of discovery.
+    outages: list[tuple[float, float | None]] = field(default_factory=list)
+    max_lag_s: float = 0.0  # maximum delay of the timers of the test process itself
--- a/sorreldock/lab/soak/routers.py
+++ b/sorreldock/lab/soak/routers.py
@@ -1,4 +1,4 @@
-"""Router processes of the soak: started, told to end, killed and started again at their addresses."""
+"""Router processes of the soak, which are stopped, killed and restarted at their addresses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 from ..processes import free_port, start_command
 from . import system_calls
-from .records import Life, Records
+from .records import ProcessRun, Records
 
-FAULTY_MODULE = "sorreldock.lab.soak.system_calls"
-START_S = 20.0
-POLL_S = 0.02
+FAULTY_CALLS_MODULE = "sorreldock.lab.soak.system_calls"
+START_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
 
-# A deployment in the platform's form: short deadlines, no probes, several zones.
+# A deployment's settings in the platform's format: short deadlines, no probes, several zones.
 SETTINGS: dict[str, Any] = {
     "discovery": "ask",
     "tick_s": 0.002,
@@ -50,7 +50,7 @@
 
 
 class RouterProcess:
-    """One router, which keeps its name and address through restarts."""
+    """One router, which keeps its name and address across restarts."""
 
     def __init__(
         self,
@@ -62,11 +62,12 @@
         faulty_calls: dict[str, Any] | None = None,
     ) -> None:
         self.name = name
-        self.address = f"{host}:{free_port()}"  # on a host of its own: no dial of others takes the port
+        # Each router has its own IP address, so that no outgoing connection of others takes the port.
+        self.address = f"{host}:{free_port()}"
         self.log = folder / f"{name}.log"
         self._records = records
         self._process: subprocess.Popen[bytes] | None = None
-        self._life: Life | None = None
+        self._run: ProcessRun | None = None
         self._serving = False
         path = folder / f"{name}.json"
         path.write_text(json.dumps({**config, "name": name, "listen": self.address}))
@@ -74,63 +75,63 @@
         self._environment["RELAY_CONFIG"] = str(path)
         self._module = "sorreldock"
         if faulty_calls:
-            self._module = FAULTY_MODULE
-            self._environment[system_calls.PLAN] = json.dumps(faulty_calls)
+            self._module = FAULTY_CALLS_MODULE
+            self._environment[system_calls.PLAN_VARIABLE] = json.dumps(faulty_calls)
 
     @property
-    def running(self) -> bool:
-        """Whether a process serves and was not told to end."""
+    def is_serving(self) -> bool:
+        """Whether a process serves and was not signalled to exit."""
         return self._serving
 
     async def start(self) -> None:
-        """Start a process and wait until it serves."""
-        seen = self.log.read_bytes().count(b"PHASE - serving") if self.log.exists() else 0
+        """Start a process and wait until its log says that it serves; RuntimeError if it exits first."""
+        previous_starts = self.log.read_bytes().count(b"PHASE - serving") if self.log.exists() else 0
         with open(self.log, "ab") as log:
             self._process = start_command(
                 ["serve"], self._environment, self._module, stdin=subprocess.DEVNULL, stdout=log, stderr=log
             )
-        self._life = Life(self.name, trio.current_time())
-        self._records.lives.append(self._life)
-        with trio.fail_after(START_S):
-            while self.log.read_bytes().count(b"PHASE - serving") == seen:
+        self._run = ProcessRun(self.name, trio.current_time())
+        self._records.process_runs.append(self._run)
+        with trio.fail_after(START_TIMEOUT_S):
+            while self.log.read_bytes().count(b"PHASE - serving") == previous_starts:
                 if self._process.poll() is not None:
                     raise RuntimeError(f"{self.name} did not start: {self.log.read_text()[-300:]}")
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         self._serving = True
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if there is one."""
+        """Send a signal to the process if it runs."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
-    async def end(self, kill_after_s: float) -> None:
-        """SIGTERM, and SIGKILL after so long if it still runs."""
-        process, life = self._process, self._life
-        if process is None or life is None:
+    async def stop(self, kill_after_s: float) -> None:
+        """Send SIGTERM, and SIGKILL if the process still runs after `kill_after_s`."""
+        process, run = self._process, self._run
+        if process is None or run is None:
             return
         self._serving = False
-        life.told_to_end_at = trio.current_time()
+        run.terminated_at = trio.current_time()
         self.signal(signal.SIGTERM)
         with trio.move_on_after(kill_after_s):
             while process.poll() is None:
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
         await self.kill()
 
     async def kill(self) -> None:
-        """SIGKILL, if it still runs, and wait for its end."""
+        """Send SIGKILL if the process still runs, and wait for its exit."""
         self._serving = False
-        process, life = self._process, self._life
-        if process is None or life is None:
+        process, run = self._process, self._run
+        if process is None or run is None:
             return
         if process.poll() is None:
-            life.killed_at = trio.current_time()
+            run.killed_at = trio.current_time()
             process.kill()
         with trio.CancelScope(shield=True):
-            while process.poll() is None:  # not `wait`, which would stop all clocks of this process
-                await trio.sleep(POLL_S)
-        life.status, life.ended_at, self._process = process.returncode, trio.current_time(), None
+            while process.poll() is None:  # `wait` would block this process's event loop
+                await trio.sleep(POLL_INTERVAL_S)
+        run.status, run.ended_at, self._process = process.returncode, trio.current_time(), None
 
-    def check(self) -> None:
-        """Note a process that has ended by itself."""
-        if self._process is not None and self._life is not None and self._life.told_to_end_at is None:
-            self._life.status = self._process.poll()
+    def record_early_exit(self) -> None:
+        """Record the exit status of a process that has exited without SIGTERM."""
+        if self._process is not None and self._run is not None and self._run.terminated_at is None:
+            self._run.status = self._process.poll()
--- a/sorreldock/lab/soak/runner.py
+++ b/sorreldock/lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays a soak: stand-in servers and clients in this process, routers as processes, faults by a plan."""
+"""The runner of a soak: emulated servers and clients in this process, router processes, planned faults."""
 
 from __future__ import annotations
 
@@ -12,95 +12,102 @@
 import trio
 
 from . import faults
-from .clients import Client, Habit, draw_demand
-from .invariants import breaks
+from .clients import Client, ClientBehaviour, draw_request
+from .invariants import find_breaks
 from .records import Records
 from .routers import SETTINGS, RouterProcess
-from .servers import Behaviour, Fault, Fleet
+from .servers import Fleet, ServerBehaviour, ServerFault
 from .system_calls import ERRORS
 
-LONGEST_DEADLINE_S = 3.0
-KILL_AFTER_S = LONGEST_DEADLINE_S + 0.7  # the earliest that the platform's terms allow
-DOWN_S = 0.5  # from a process's end to its successor's start
-HELD_UP_S = 0.15
-TICK_S = 0.01
+MAX_DEADLINE_S = 3.0
+KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # the earliest time at which the platform may send SIGKILL
+RESTART_DELAY_S = 0.5  # from the exit of a process to the start of the next one
+SUSPENSION_S = 0.15
+LAG_INTERVAL_S = 0.01
+# Texts of log records that report a broken rule or a fault in the router.
 FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client", "Traceback")
 ZONES = ["north", "south", "west", "east"]
 
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """One run: sizes, times in seconds, and the seed of all draws."""
+    """The parameters of one run: sizes, times in seconds, and the seed of all draws."""
 
     seed: int = 1
     routers: int = 10
     servers: int = 60
     span_s: float = 20.0
-    clients: int = 4  # a router
-    requests_per_s: float = 6.0  # a router
+    clients: int = 4  # per router
+    requests_per_s: float = 6.0  # per router
     faults_per_s: float = 1.0
-    changes_per_s: float = 0.0  # of the list, besides the faults
+    changes_per_s: float = 0.0  # of the server list, in addition to the faults
     failing_calls: float = 0.0  # share of system calls, in half of the routers
-    habits: tuple[Habit, ...] = (Habit.PLAIN, Habit.KEEPS, Habit.KEEPS, Habit.LEAVES, Habit.SLOW)
+    client_behaviours: tuple[ClientBehaviour, ...] = (
+        ClientBehaviour.ONE_SHOT,
+        ClientBehaviour.KEEP_ALIVE,
+        ClientBehaviour.KEEP_ALIVE,
+        ClientBehaviour.ABANDONS,
+        ClientBehaviour.SLOW_WRITER,
+    )
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run came to."""
+    """The result of a run."""
 
     seed: int
     requests: int = 0
     served: int = 0
     breaks: list[str] = field(default_factory=list)
-    longest_lag_s: float = 0.0
-    plan: list[faults.Trouble] = field(default_factory=list)
+    max_lag_s: float = 0.0
+    plan: list[faults.PlannedFault] = field(default_factory=list)
     logs: dict[str, str] = field(default_factory=dict)
 
 
 class Run:
-    """A soak under way."""
+    """A run in progress."""
 
     def __init__(self, soak: Soak, folder: Path) -> None:
         self.soak = soak
         self.records = Records()
         self.fleet = Fleet(soak.servers, ZONES, self.records, soak.seed)
         self.routers: list[RouterProcess] = []
-        self._folder = folder
-        self._numbers = iter(range(1 << 30))
-        self._ended = False
+        self._log_folder = folder
+        self._request_numbers = iter(range(1 << 30))
+        self._is_ending = False
 
-    async def play(self) -> Verdict:
-        """Play it to its end, and judge it."""
+    async def run(self) -> Verdict:
+        """Run the soak to its end and check its records."""
         soak = self.soak
         plan = faults.draw_plan(soak.seed, soak.span_s, soak.faults_per_s) if soak.faults_per_s else []
         async with trio.open_nursery() as nursery, self.fleet.running():
             nursery.start_soon(self._measure_lag)
-            self.routers = [self._router(number) for number in range(soak.routers)]
+            self.routers = [self._make_router(number) for number in range(soak.routers)]
             try:
                 async with trio.open_nursery() as starting:
                     for router in self.routers:
                         starting.start_soon(router.start)
-                self.records.longest_lag_s = 0.0
-                await self._traffic(plan)
+                self.records.max_lag_s = 0.0
+                await self._run_traffic(plan)
                 for router in self.routers:
-                    router.check()
+                    router.record_early_exit()
                 with trio.CancelScope(shield=True):
                     async with trio.open_nursery() as ending:
                         for router in self.routers:
-                            ending.start_soon(router.end, KILL_AFTER_S)
+                            ending.start_soon(router.stop, KILL_AFTER_S)
             finally:
                 for router in self.routers:
                     await router.kill()
             nursery.cancel_scope.cancel()
-        return self._verdict(plan)
+        return self._make_verdict(plan)
 
-    def _router(self, number: int) -> RouterProcess:
+    def _make_router(self, number: int) -> RouterProcess:
         soak, name = self.soak, f"r{number}"
         config: dict[str, Any] = {
-            "discovery": self.fleet.discovery_for(name),
+            "discovery": self.fleet.open_discovery_for(name),
             "seed": f"{soak.seed * 1000 + number:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self.fleet.listing(),
+            "known": self.fleet.full_list(),
             "settings": {
                 **SETTINGS,
                 "areas": ZONES,
@@ -111,151 +118,157 @@
         }
         kinds = [kind for kind in (*ERRORS, "short_recv", "short_send") if kind != "connect"]
         shares = dict.fromkeys(kinds, soak.failing_calls)
-        shares |= dict.fromkeys(("socket", "listen"), min(10 * soak.failing_calls, 0.3))  # these are few
-        failing = {"seed": soak.seed * 1000 + number, "shares": shares} if number % 2 else None
+        # Calls of these kinds are rare.
+        shares |= dict.fromkeys(("socket", "listen"), min(10 * soak.failing_calls, 0.3))
+        faulty_calls = {"seed": soak.seed * 1000 + number, "shares": shares} if number % 2 else None
         if not soak.failing_calls:
-            failing = None
+            faulty_calls = None
         host = f"127.88.0.{number + 1}"
-        return RouterProcess(name, host, self._folder, config, self.records, failing)
+        return RouterProcess(name, host, self._log_folder, config, self.records, faulty_calls)
 
-    async def _traffic(self, plan: list[faults.Trouble]) -> None:
+    async def _run_traffic(self, plan: list[faults.PlannedFault]) -> None:
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                for trouble in plan:
-                    nursery.start_soon(self._strike, trouble)
+                for fault in plan:
+                    nursery.start_soon(self._inject, fault)
                 if self.soak.changes_per_s:
-                    nursery.start_soon(self._change_the_list)
+                    nursery.start_soon(self._change_list_regularly)
                 for router in self.routers:
                     for _ in range(self.soak.clients):
-                        nursery.start_soon(self._client, router)
+                        nursery.start_soon(self._run_client, router)
                 await trio.sleep(self.soak.span_s)
-                self._ended = True  # clients finish what they have begun
-                scope.deadline = trio.current_time() + 4 * LONGEST_DEADLINE_S
+                self._is_ending = True  # clients complete their current requests
+                scope.deadline = trio.current_time() + 4 * MAX_DEADLINE_S
 
-    async def _client(self, router: RouterProcess) -> None:
-        draw = random.Random(f"{self.soak.seed}-{next(self._numbers)}")
+    async def _run_client(self, router: RouterProcess) -> None:
+        rng = random.Random(f"{self.soak.seed}-{next(self._request_numbers)}")
         client = Client(router.name, router.address, self.records)
         pause_s = self.soak.clients / self.soak.requests_per_s
-        while not self._ended:
-            await trio.sleep(draw.expovariate(1.0 / pause_s))
-            habit = draw.choice(self.soak.habits)
-            number = next(self._numbers)
-            demand = draw_demand(habit, draw, number)
-            await client.ask(f"{self.soak.seed:x}-{number}", demand, keep=habit is Habit.KEEPS)
-        await client.leave()
+        while not self._is_ending:
+            await trio.sleep(rng.expovariate(1.0 / pause_s))
+            behaviour = rng.choice(self.soak.client_behaviours)
+            number = next(self._request_numbers)
+            request = draw_request(behaviour, rng, number)
+            await client.send_request(
+                f"{self.soak.seed:x}-{number}", request, keep_alive=behaviour is ClientBehaviour.KEEP_ALIVE
+            )
+        await client.close()
 
     async def _measure_lag(self) -> None:
-        """Note by how much this process itself runs late: its clocks are the oracle's."""
+        """Measure how late the timers of this process fire, since the checks compare times that it took."""
         while True:
-            due = trio.current_time() + TICK_S
+            due = trio.current_time() + LAG_INTERVAL_S
             await trio.sleep_until(due)
-            self.records.longest_lag_s = max(self.records.longest_lag_s, trio.current_time() - due)
+            self.records.max_lag_s = max(self.records.max_lag_s, trio.current_time() - due)
 
     # Faults.
 
-    async def _strike(self, trouble: faults.Trouble) -> None:
-        await trio.sleep(trouble.at)
-        draw = random.Random(trouble.seed)
-        match trouble.kind:
-            case faults.Kind.SERVERS_FAIL:
-                await self._servers_fail(trouble.lasts, draw)
-            case faults.Kind.SERVERS_DRAIN:
-                await self._servers_drain(trouble.lasts, draw)
-            case faults.Kind.DISCOVERY_DOWN:
+    async def _inject(self, fault: faults.PlannedFault) -> None:
+        await trio.sleep(fault.at)
+        rng = random.Random(fault.seed)
+        match fault.kind:
+            case faults.FaultKind.SERVERS_FAIL:
+                await self._fail_requests(fault.lasts, rng)
+            case faults.FaultKind.SERVERS_DRAIN:
+                await self._drain_servers(fault.lasts, rng)
+            case faults.FaultKind.DISCOVERY_DOWN:
                 self.fleet.stop_discovery()
-                await trio.sleep(trouble.lasts)
+                await trio.sleep(fault.lasts)
                 self.fleet.start_discovery()
-            case faults.Kind.LIST_CHANGES:
-                await self._list_changes(trouble.lasts, draw)
+            case faults.FaultKind.LIST_CHANGES:
+                await self._change_list_often(fault.lasts, rng)
             case _:
-                await self._router_trouble(trouble, draw)
+                await self._inject_router_fault(fault, rng)
 
-    async def _router_trouble(self, trouble: faults.Trouble, draw: random.Random) -> None:
-        router = draw.choice(self.routers)
-        if not router.running:
+    async def _inject_router_fault(self, fault: faults.PlannedFault, rng: random.Random) -> None:
+        router = rng.choice(self.routers)
+        if not router.is_serving:
             return
-        match trouble.kind:
-            case faults.Kind.RESTART:
-                await router.end(KILL_AFTER_S)
-                await trio.sleep(DOWN_S)
+        match fault.kind:
+            case faults.FaultKind.RESTART:
+                await router.stop(KILL_AFTER_S)
+                await trio.sleep(RESTART_DELAY_S)
                 await router.start()
-            case faults.Kind.KILL:
+            case faults.FaultKind.KILL:
                 await router.kill()
-                await trio.sleep(DOWN_S)
+                await trio.sleep(RESTART_DELAY_S)
                 await router.start()
-            case faults.Kind.RELOAD:
-                for _ in range(draw.randint(1, 4)):
+            case faults.FaultKind.RELOAD:
+                for _ in range(rng.randint(1, 4)):
                     router.signal(signal.SIGHUP)
-                    await trio.sleep(draw.uniform(0.0, 0.3))
-            case faults.Kind.HOLD_UP:
+                    await trio.sleep(rng.uniform(0.0, 0.3))
+            case faults.FaultKind.SUSPEND:
                 router.signal(signal.SIGSTOP)
                 try:
-                    await trio.sleep(HELD_UP_S)
+                    await trio.sleep(SUSPENSION_S)
                 finally:
                     router.signal(signal.SIGCONT)
 
-    async def _servers_fail(self, lasts: float, draw: random.Random) -> None:
+    async def _fail_requests(self, duration_s: float, rng: random.Random) -> None:
         before = self.fleet.behaviour
-        fault = draw.choice([fault for fault in Fault if fault is not Fault.NONE])
-        self.fleet.behaviour = Behaviour(
-            first_event_s=draw.choice((0.0, 0.05, 0.3)),
-            spread_s=draw.choice((0.0, 0.2)),
-            events=draw.randint(1, 6),
-            between_s=draw.choice((0.0, 0.02, 0.1)),
+        fault = rng.choice([fault for fault in ServerFault if fault is not ServerFault.NONE])
+        self.fleet.behaviour = ServerBehaviour(
+            first_event_s=rng.choice((0.0, 0.05, 0.3)),
+            spread_s=rng.choice((0.0, 0.2)),
+            events=rng.randint(1, 6),
+            event_interval_s=rng.choice((0.0, 0.02, 0.1)),
             fault=fault,
-            fault_share=draw.uniform(0.05, 0.5),
+            fault_share=rng.uniform(0.05, 0.5),
         )
-        await trio.sleep(lasts)
-        self.fleet.behaviour = replace(before, fault=Fault.NONE, fault_share=0.0)
+        await trio.sleep(duration_s)
+        self.fleet.behaviour = replace(before, fault=ServerFault.NONE, fault_share=0.0)
 
-    async def _servers_drain(self, lasts: float, draw: random.Random) -> None:
-        """Some are told to end, go, and stay away: a server that comes back would need another address."""
+    async def _drain_servers(self, duration_s: float, rng: random.Random) -> None:
+        """Withdraw a tenth of the servers, then remove them.
+
+        They don't come back, since a server that returns would need a new address.
+        """
         ready = [server for server in self.fleet.servers if server.state == "Ready"]
-        chosen = draw.sample(ready, max(1, len(ready) // 10)) if len(ready) > 10 else []
+        chosen = rng.sample(ready, max(1, len(ready) // 10)) if len(ready) > 10 else []
         if chosen:
-            self.fleet.change(chosen, "Terminating")
-            await trio.sleep(lasts)
-            self.fleet.change(chosen, "Gone")
+            self.fleet.set_state(chosen, "Terminating")
+            await trio.sleep(duration_s)
+            self.fleet.set_state(chosen, "Gone")
 
-    async def _list_changes(self, lasts: float, draw: random.Random) -> None:
-        until = trio.current_time() + lasts
+    async def _change_list_often(self, duration_s: float, rng: random.Random) -> None:
+        until = trio.current_time() + duration_s
         while trio.current_time() < until:
             ready = [server for server in self.fleet.servers if server.state == "Ready"]
             if len(ready) > len(self.fleet.servers) // 2:
-                self.fleet.change([draw.choice(ready)], "Terminating")
+                self.fleet.set_state([rng.choice(ready)], "Terminating")
             await trio.sleep(0.1)
 
-    async def _change_the_list(self) -> None:
-        draw = random.Random(f"{self.soak.seed}-changes")
-        while not self._ended:
+    async def _change_list_regularly(self) -> None:
+        rng = random.Random(f"{self.soak.seed}-changes")
+        while not self._is_ending:
             ready = [server for server in self.fleet.servers if server.state == "Ready"]
-            self.fleet.change([draw.choice(ready)], "Terminating")
+            self.fleet.set_state([rng.choice(ready)], "Terminating")
             await trio.sleep(1.0 / self.soak.changes_per_s)
 
     def _logged_faults(self) -> list[str]:
-        """Return what the routers themselves logged as broken rules or faults of theirs."""
+        """Return the broken rules and faults that the routers themselves logged."""
         return [
-            f"logged: {router.name}: {line[line.index(word) :]}"
+            f"logged: {router.name}: {line[line.index(text) :]}"
             for router in self.routers
             for line in router.log.read_text(errors="replace").splitlines()
-            for word in FAULT_RECORDS
-            if word in line
+            for text in FAULT_RECORDS
+            if text in line
         ]
 
-    def _verdict(self, plan: list[faults.Trouble]) -> Verdict:
+    def _make_verdict(self, plan: list[faults.PlannedFault]) -> Verdict:
         records = self.records
         return Verdict(
             seed=self.soak.seed,
             requests=len(records.exchanges),
-            served=sum(exchange.status == 200 and exchange.whole for exchange in records.exchanges),
-            breaks=[*breaks(records), *self._logged_faults()],
-            longest_lag_s=records.longest_lag_s,
+            served=sum(exchange.status == 200 and exchange.is_complete for exchange in records.exchanges),
+            breaks=[*find_breaks(records), *self._logged_faults()],
+            max_lag_s=records.max_lag_s,
             plan=plan,
             logs={router.name: router.log.read_text(errors="replace") for router in self.routers},
         )
 
 
-def play(soak: Soak) -> Verdict:
-    """Play one run in a folder of its own, which is removed."""
+def run_soak(soak: Soak) -> Verdict:
+    """Run a soak in a temporary folder and return its result."""
     with tempfile.TemporaryDirectory(prefix="sorreldock-soak-") as folder:
-        return trio.run(Run(soak, Path(folder)).play)
+        return trio.run(Run(soak, Path(folder)).run)
--- a/sorreldock/lab/soak/servers.py
+++ b/sorreldock/lab/soak/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers, up to thousands in one process, and the discovery that lists them."""
+"""Emulated servers, up to thousands in one process, and their discovery service."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 import h11
 import trio
 
-from .records import Arrival, Records
+from .records import ReceivedAttempt, Records
 
 EVENT = b'data: {"n":%d}\n\n'
 DONE = b"data: [DONE]\n\n"
-SIGN_OF_LIFE_S = 2.0  # the protocol's empty line while nothing changes
-PER_SUBNET = 250
+KEEPALIVE_INTERVAL_S = 2.0  # of the empty lines that discovery sends while nothing changes
+SERVERS_PER_SUBNET = 250
 BACKLOG = 128
 
 
-class Fault(Enum):
-    """What a server does to a request instead of answering it."""
+class ServerFault(Enum):
+    """What a server does instead of answering a request in full."""
 
     NONE = "none"
-    ERROR = "error"  # 500
-    TURNED_AWAY = "turned_away"  # 503 with X-Never-Ran
-    RESET = "reset"  # the connection ends before the answer
-    BREAK = "break"  # the stream ends half way
-    HANG = "hang"  # nothing comes any more
+    ERROR = "error"  # status 500
+    REJECTED = "turned_away"  # status 503 with X-Never-Ran
+    RESET = "reset"  # the connection is closed before the answer
+    CUT_OFF = "break"  # the connection is closed after the first event
+    HANG = "hang"  # no answer, while the connection stays open
 
 
 @dataclass(slots=True)
-class Behaviour:
-    """How servers answer: times in seconds, shares from 0 to 1."""
+class ServerBehaviour:
+    """How the servers answer; times are in seconds, shares from 0 to 1."""
 
     first_event_s: float = 0.05
-    spread_s: float = 0.0  # added to that, drawn evenly
+    spread_s: float = 0.0  # upper bound of a uniform random addition to `first_event_s`
     events: int = 3
-    between_s: float = 0.0
-    fault: Fault = Fault.NONE
+    event_interval_s: float = 0.0
+    fault: ServerFault = ServerFault.NONE
     fault_share: float = 0.0
 
 
 class Server:
-    """One listed server."""
+    """One server of the discovery list."""
 
     def __init__(self, number: int, zone: str, listener: socket.socket) -> None:
         self.uid = f"s-{number:05d}"
@@ -60,7 +60,7 @@
         self.endpoint = f"{host}:{port}"
 
     def entry(self) -> dict[str, Any]:
-        """Return the server in discovery's form."""
+        """Return the server's entry in discovery's format."""
         return {
             "uid": self.uid,
             "endpoint": self.endpoint,
@@ -74,29 +74,29 @@
 
 
 class Fleet:
-    """Servers on addresses of 127.77.0.0/16, and their discovery on 127.0.0.1."""
+    """Emulated servers on addresses of 127.77.0.0/16, and their discovery service on 127.0.0.1."""
 
     def __init__(self, count: int, zones: list[str], records: Records, seed: int = 0) -> None:
-        self.behaviour = Behaviour()
+        self.behaviour = ServerBehaviour()
         self.records = records
         self.servers: list[Server] = []
         self.revision = 1
         self.discovery_up = True
         self._nursery: trio.Nursery | None = None
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._changes: dict[int, list[dict[str, Any]]] = {}
         self._changed = trio.Event()
         self._watches: set[trio.CancelScope] = set()
-        with socket.create_server(("127.0.0.1", 0)) as probe:
-            port = probe.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as free:
+            port = free.getsockname()[1]
         for number in range(count):
-            subnet, place = divmod(number, PER_SUBNET)
-            listener = socket.create_server((f"127.77.{subnet}.{place + 1}", port), backlog=BACKLOG)
+            subnet, host_number = divmod(number, SERVERS_PER_SUBNET)
+            listener = socket.create_server((f"127.77.{subnet}.{host_number + 1}", port), backlog=BACKLOG)
             self.servers.append(Server(number, zones[number % len(zones)], listener))
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[Fleet]:
-        """Serve until the block is left."""
+        """Serve until the block exits."""
         async with trio.open_nursery() as self._nursery:
             for server in self.servers:
                 self._nursery.start_soon(self._accept, server, self._nursery)
@@ -107,42 +107,42 @@
 
     # Discovery.
 
-    def discovery_for(self, router: str) -> str:
-        """Return the address at which this router, and no other, finds discovery."""
+    def open_discovery_for(self, router: str) -> str:
+        """Open a discovery address for this router alone, and return it."""
         assert self._nursery is not None
-        listening = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
-        host, port = listening.getsockname()
-        listener = trio.SocketListener(trio.socket.from_stdlib_socket(listening))
+        sock = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
+        host, port = sock.getsockname()
+        listener = trio.SocketListener(trio.socket.from_stdlib_socket(sock))
         self._nursery.start_soon(trio.serve_listeners, partial(self._serve_discovery, router), [listener])
         return f"{host}:{port}"
 
-    def listing(self) -> dict[str, Any]:
-        """Return the whole list in discovery's form."""
+    def full_list(self) -> dict[str, Any]:
+        """Return the full list in discovery's format."""
         return {"rev": self.revision, "all": True, "targets": [server.entry() for server in self.servers]}
 
-    def change(self, servers: list[Server], state: str) -> None:
-        """Publish a new state of these servers as one version."""
+    def set_state(self, servers: list[Server], state: str) -> None:
+        """Publish a new state of these servers as one revision of the list."""
         now = trio.current_time()
         for server in servers:
             server.state = state
-            self.records.ending_since.setdefault(server.uid, now)
+            self.records.withdrawn_at.setdefault(server.uid, now)
         self.revision += 1
         self._changes[self.revision] = [server.entry() for server in servers]
         self._changed.set()
         self._changed = trio.Event()
 
     def stop_discovery(self) -> None:
-        """End all watches, and answer calls with 503 until `start_discovery`."""
+        """Close all watches, and answer with status 503 until `start_discovery`."""
         self.discovery_up = False
         self.records.outages.append((trio.current_time(), None))
         for scope in list(self._watches):
             scope.cancel()
 
     def start_discovery(self) -> None:
-        """Answer calls again."""
+        """Accept watches again."""
         self.discovery_up = True
         now = trio.current_time()
-        self.records.outages = [(began, now if end is None else end) for began, end in self.records.outages]
+        self.records.outages = [(start, now if end is None else end) for start, end in self.records.outages]
 
     async def _serve_discovery(self, router: str, stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
@@ -159,25 +159,25 @@
 
     async def _watch(self, router: str, stream: trio.SocketStream) -> None:
         await stream.send_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-        told = self.revision
-        await stream.send_all(_chunk(json.dumps(self.listing()).encode() + b"\n"))
-        self._note_told(router)
+        sent_revision = self.revision
+        await stream.send_all(_chunk(json.dumps(self.full_list()).encode() + b"\n"))
+        self._record_notification(router)
         while True:
             changed = self._changed
-            while told < self.revision:
-                told += 1
-                delta = {"rev": told, "all": False, "targets": self._changes[told]}
-                await stream.send_all(_chunk(json.dumps(delta).encode() + b"\n"))
-                self._note_told(router)
-            with trio.move_on_after(SIGN_OF_LIFE_S) as quiet:
+            while sent_revision < self.revision:
+                sent_revision += 1
+                changes = {"rev": sent_revision, "all": False, "targets": self._changes[sent_revision]}
+                await stream.send_all(_chunk(json.dumps(changes).encode() + b"\n"))
+                self._record_notification(router)
+            with trio.move_on_after(KEEPALIVE_INTERVAL_S) as timeout:
                 await changed.wait()
-            if quiet.cancelled_caught:
+            if timeout.cancelled_caught:
                 await stream.send_all(_chunk(b"\n"))
 
-    def _note_told(self, router: str) -> None:
+    def _record_notification(self, router: str) -> None:
         now = trio.current_time()
-        for server in self.records.ending_since:
-            self.records.told.setdefault((router, server), now)
+        for server in self.records.withdrawn_at:
+            self.records.notified_at.setdefault((router, server), now)
 
     # Servers.
 
@@ -192,56 +192,60 @@
         parser = h11.Connection(h11.SERVER)
         async with stream:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-                while await self._exchange(server, stream, parser):
+                while await self._serve_request(server, stream, parser):
                     parser.start_next_cycle()
 
-    async def _exchange(self, server: Server, stream: trio.SocketStream, parser: h11.Connection) -> bool:
-        """Serve one request; tells whether the connection can carry another."""
+    async def _serve_request(self, server: Server, stream: trio.SocketStream, parser: h11.Connection) -> bool:
+        """Serve one request; return whether the connection can carry another."""
         head = await _next_event(stream, parser)
         if not isinstance(head, h11.Request):
             return False
         headers = {name.decode(): value.decode() for name, value in head.headers}
-        told_s = float(headers.get("x-expires-in", "0u").rstrip("um")) / 1e6
-        arrival = Arrival(headers.get("x-trace-id", ""), server.uid, trio.current_time(), told_s)
+        timeout_s = float(headers.get("x-expires-in", "0u").rstrip("um")) / 1e6
+        attempt = ReceivedAttempt(headers.get("x-trace-id", ""), server.uid, trio.current_time(), timeout_s)
         while not isinstance(event := await _next_event(stream, parser), h11.EndOfMessage):
             if isinstance(event, h11.ConnectionClosed):
                 return False
-        self.records.arrivals.append(arrival)
+        self.records.attempts.append(attempt)
         try:
-            return await self._answer(arrival, stream, parser)
+            return await self._answer(attempt, stream, parser)
         finally:
-            arrival.ended_at = trio.current_time()
+            attempt.ended_at = trio.current_time()
 
-    async def _answer(self, arrival: Arrival, stream: trio.SocketStream, parser: h11.Connection) -> bool:
+    async def _answer(
+        self, attempt: ReceivedAttempt, stream: trio.SocketStream, parser: h11.Connection
+    ) -> bool:
         behaviour = self.behaviour
-        fault = behaviour.fault if self._draw.random() < behaviour.fault_share else Fault.NONE
-        if fault is Fault.HANG:
+        fault = behaviour.fault if self._rng.random() < behaviour.fault_share else ServerFault.NONE
+        if fault is ServerFault.HANG:
             await _until_closed(stream)
             return False
-        first_event_s = behaviour.first_event_s + self._draw.random() * behaviour.spread_s
+        first_event_s = behaviour.first_event_s + self._rng.random() * behaviour.spread_s
         if not await _wait_unless_closed(stream, first_event_s):
             return False
-        if fault is Fault.RESET:
+        if fault is ServerFault.RESET:
             return False
-        if fault in (Fault.ERROR, Fault.TURNED_AWAY):
+        if fault in (ServerFault.ERROR, ServerFault.REJECTED):
             headers = [("content-length", "0")]
-            if fault is Fault.TURNED_AWAY:
+            if fault is ServerFault.REJECTED:
                 headers.append(("x-never-ran", "1"))
-            response = h11.Response(status_code=500 if fault is Fault.ERROR else 503, headers=headers)
+            response = h11.Response(status_code=500 if fault is ServerFault.ERROR else 503, headers=headers)
             await stream.send_all((parser.send(response) or b"") + (parser.send(h11.EndOfMessage()) or b""))
             return True
         response = h11.Response(status_code=200, headers=[("content-type", "text/event-stream")])
-        out = parser.send(response) or b""
+        data = parser.send(response) or b""
         for number in range(behaviour.events):
             event = EVENT % number if number < behaviour.events - 1 else DONE
-            out += parser.send(h11.Data(data=event)) or b""
-            await stream.send_all(out)
-            arrival.served += event
-            out = b""
-            if fault is Fault.BREAK:
-                arrival.broken = True
+            data += parser.send(h11.Data(data=event)) or b""
+            await stream.send_all(data)
+            attempt.sent_body += event
+            data = b""
+            if fault is ServerFault.CUT_OFF:
+                attempt.was_cut_off = True
                 return False
-            if behaviour.between_s and not await _wait_unless_closed(stream, behaviour.between_s):
+            if behaviour.event_interval_s and not await _wait_unless_closed(
+                stream, behaviour.event_interval_s
+            ):
                 return False
         await stream.send_all(parser.send(h11.EndOfMessage()) or b"")
         return True
@@ -273,7 +277,7 @@
 
 
 async def _wait_unless_closed(stream: trio.SocketStream, seconds: float) -> bool:
-    """Wait; False as soon as the router has ended the connection."""
+    """Wait, and return True; return False as soon as the router closes the connection."""
     with trio.move_on_after(seconds):
         await _until_closed(stream)
         return False
--- a/sorreldock/program/soak_command.py
+++ b/sorreldock/program/soak_command.py
@@ -37,11 +37,11 @@
     Exit status: 0 all rules held, 1 one was broken, 2 invalid command line.
     """
     with report_errors("lab"):
-        from ..lab.soak.runner import Soak, Verdict, play
+        from ..lab.soak.runner import Soak, Verdict, run_soak
 
         failed = False
         for seed in seed_range(seeds):
-            verdict: Verdict = play(
+            verdict: Verdict = run_soak(
                 Soak(
                     seed=seed,
                     routers=routers,
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from sorreldock.lab.soak.clients import Habit
-from sorreldock.lab.soak.runner import Soak, Verdict, play
+from sorreldock.lab.soak.clients import ClientBehaviour
+from sorreldock.lab.soak.runner import Soak, Verdict, run_soak
 
 
 def checked(verdict: Verdict) -> Verdict:
@@ -22,7 +22,7 @@
 
 def test_a_router_of_thousands_of_servers_answers_in_time_while_its_list_changes() -> None:
     verdict = checked(
-        play(
+        run_soak(
             Soak(
                 routers=1,
                 servers=3200,
@@ -31,7 +31,7 @@
                 requests_per_s=30.0,
                 faults_per_s=0.0,
                 changes_per_s=2.0,
-                habits=(Habit.PLAIN, Habit.KEEPS),
+                client_behaviours=(ClientBehaviour.ONE_SHOT, ClientBehaviour.KEEP_ALIVE),
             )
         )
     )
@@ -39,5 +39,5 @@
 
 
 def test_no_request_is_lost_to_system_calls_that_fail_for_a_moment() -> None:
-    verdict = checked(play(Soak(routers=4, servers=20, span_s=6.0, faults_per_s=0.0, failing_calls=0.02)))
+    verdict = checked(run_soak(Soak(routers=4, servers=20, span_s=6.0, faults_per_s=0.0, failing_calls=0.02)))
     assert verdict.requests > 80 and verdict.served > 0.8 * verdict.requests
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The randomized soak: one short run with all faults, and its oracle on records that break each rule."""
+"""The randomized soak: a short run with all kinds of faults, and its checks on records that break a rule."""
 
 from __future__ import annotations
 
@@ -11,134 +11,134 @@
 import pytest
 from test_lost_requests import checked
 
-from sorreldock.lab.soak.faults import Kind, draw_plan
-from sorreldock.lab.soak.invariants import breaks
-from sorreldock.lab.soak.records import Arrival, Exchange, Life, Records
-from sorreldock.lab.soak.runner import Soak, play
+from sorreldock.lab.soak.faults import FaultKind, draw_plan
+from sorreldock.lab.soak.invariants import find_breaks
+from sorreldock.lab.soak.records import Exchange, ProcessRun, ReceivedAttempt, Records
+from sorreldock.lab.soak.runner import Soak, run_soak
 
 
 def test_router_processes_hold_the_rules_under_overlapping_faults_and_failing_calls() -> None:
     soak = Soak(
         seed=7, routers=10, servers=60, span_s=10.0, faults_per_s=2.0, changes_per_s=0.5, failing_calls=0.01
     )
-    verdict = checked(play(soak))
+    verdict = checked(run_soak(soak))
     assert verdict.requests > 200 and verdict.served > 0.5 * verdict.requests
 
 
-def test_a_plan_is_drawn_from_its_seed_and_its_faults_overlap() -> None:
+def test_a_plan_depends_on_its_seed_and_its_faults_overlap() -> None:
     plan = draw_plan(3, 60.0, 2.0)
     assert plan == draw_plan(3, 60.0, 2.0) != draw_plan(4, 60.0, 2.0)
-    assert {trouble.kind for trouble in plan} == set(Kind)
+    assert {trouble.kind for trouble in plan} == set(FaultKind)
     assert any(b.at < a.at + a.lasts for a, b in pairwise(plan))
 
 
-def good() -> Records:
-    """One request, served well by one server."""
+def valid_records() -> Records:
+    """Return the records of one request that one server answered in time."""
     served = b"data: 1\n\n"
     exchange = Exchange(
         "t1",
         "r1",
         2.0,
-        begun_at=9.99,
+        started_at=9.99,
         sent_at=10.0,
-        first_at=10.1,
+        head_received_at=10.1,
         ended_at=10.2,
         status=200,
-        whole=True,
+        is_complete=True,
         body=served,
     )
-    arrival = Arrival("t1", "s1", 10.01, 1.9, ended_at=10.2, served=served)
-    return Records([exchange], [arrival], [Life("r1", 0.0, told_to_end_at=20.0, status=0)])
+    attempt = ReceivedAttempt("t1", "s1", 10.01, 1.9, ended_at=10.2, sent_body=served)
+    return Records([exchange], [attempt], [ProcessRun("r1", 0.0, terminated_at=20.0, status=0)])
 
 
-def late(records: Records) -> None:
-    records.exchanges[0].first_at = 12.6
+def answer_late(records: Records) -> None:
+    records.exchanges[0].head_received_at = 12.6
 
 
-def unanswered(records: Records) -> None:
-    records.exchanges[0].status, records.exchanges[0].whole = 0, False
+def close_unanswered(records: Records) -> None:
+    records.exchanges[0].status, records.exchanges[0].is_complete = 0, False
 
 
-def still_open(records: Records) -> None:
-    unanswered(records)
+def leave_open(records: Records) -> None:
+    close_unanswered(records)
     records.exchanges[0].ended_at = None
 
 
-def stolen(records: Records) -> None:
+def answer_of_another_request(records: Records) -> None:
     records.exchanges[0].body = b"data: another\n\n"
 
 
-def cut_off(records: Records) -> None:
-    records.exchanges[0].whole = False
+def cut_off_answer(records: Records) -> None:
+    records.exchanges[0].is_complete = False
 
 
-def passed_for_whole(records: Records) -> None:
-    records.arrivals[0].broken = True
+def complete_a_cut_off_answer(records: Records) -> None:
+    records.attempts[0].was_cut_off = True
 
 
-def sent_for_nobody(records: Records) -> None:
-    records.exchanges[0].left_at = 9.8
+def attempt_after_client_closed(records: Records) -> None:
+    records.exchanges[0].abandoned_at = 9.8
 
 
-def told_too_much(records: Records) -> None:
-    records.arrivals[0].told_s = 2.3
+def exceed_time_limit(records: Records) -> None:
+    records.attempts[0].timeout_s = 2.3
 
 
-def twice_at_once(records: Records) -> None:
-    records.arrivals.append(Arrival("t1", "s2", 10.1, 1.0, ended_at=10.15, served=b"data: 1\n\n"))
+def overlap_attempts(records: Records) -> None:
+    records.attempts.append(ReceivedAttempt("t1", "s2", 10.1, 1.0, ended_at=10.15, sent_body=b"data: 1\n\n"))
 
 
-def after_a_drain(records: Records) -> None:
-    records.ending_since["s1"], records.told["r1", "s1"] = 9.0, 9.5
+def attempt_after_drain(records: Records) -> None:
+    records.withdrawn_at["s1"], records.notified_at["r1", "s1"] = 9.0, 9.5
 
 
-def crashed(records: Records) -> None:
-    records.lives[0].status = 1
+def crash(records: Records) -> None:
+    records.process_runs[0].status = 1
 
 
 @pytest.mark.parametrize(
-    ("spoil", "rule"),
+    ("break_rule", "rule"),
     [
-        (late, "lost"),
-        (unanswered, "lost"),
-        (still_open, "lost"),
-        (stolen, "lost"),
-        (cut_off, "lost"),
-        (passed_for_whole, "lost"),
-        (sent_for_nobody, "lost"),
-        (told_too_much, "told"),
-        (twice_at_once, "duplicate"),
-        (after_a_drain, "drain"),
-        (crashed, "crash"),
+        (answer_late, "lost"),
+        (close_unanswered, "lost"),
+        (leave_open, "lost"),
+        (answer_of_another_request, "lost"),
+        (cut_off_answer, "lost"),
+        (complete_a_cut_off_answer, "lost"),
+        (attempt_after_client_closed, "lost"),
+        (exceed_time_limit, "told"),
+        (overlap_attempts, "duplicate"),
+        (attempt_after_drain, "drain"),
+        (crash, "crash"),
     ],
 )
-def test_the_oracle_sees_each_break(spoil: Callable[[Records], None], rule: str) -> None:
-    records = good()
-    assert breaks(records) == []
-    spoil(records)
-    assert [line.split(":")[0] for line in breaks(records)] == [rule]
-
-
-def test_a_kill_excuses_what_it_cut_off_but_not_what_came_after_the_grace() -> None:
-    records = good()
-    unanswered(records)
-    records.arrivals.clear()
-    life = records.lives[0]
-    life.told_to_end_at, life.killed_at = 9.5, 10.2
-    assert breaks(records) == []
-    life.told_to_end_at = 9.2
-    assert len(breaks(records)) == 1
-
-
-def test_a_process_that_is_being_killed_may_still_have_accepted_a_connection() -> None:
-    records = good()
-    unanswered(records)
-    records.arrivals.clear()
-    life = records.lives[0]
-    life.told_to_end_at, life.killed_at, life.ended_at = None, 9.98, 10.0  # and it was begun at 9.99
-    assert breaks(records) == []
-    life.ended_at = 9.985
-    assert len(breaks(records)) == 1
+def test_each_broken_rule_is_found(break_rule: Callable[[Records], None], rule: str) -> None:
+    records = valid_records()
+    assert find_breaks(records) == []
+    break_rule(records)
+    assert [line.split(":")[0] for line in find_breaks(records)] == [rule]
+
+
+def test_sigkill_excuses_a_lost_request_unless_it_was_sent_after_the_grace() -> None:
+    records = valid_records()
+    close_unanswered(records)
+    records.attempts.clear()
+    run = records.process_runs[0]
+    run.terminated_at, run.killed_at = 9.5, 10.2
+    assert find_breaks(records) == []
+    run.terminated_at = 9.2
+    assert len(find_breaks(records)) == 1
+
+
+def test_a_connection_accepted_between_sigkill_and_exit_is_excused() -> None:
+    records = valid_records()
+    close_unanswered(records)
+    records.attempts.clear()
+    run = records.process_runs[0]
+    run.terminated_at, run.killed_at, run.ended_at = None, 9.98, 10.0  # the request started at 9.99
+    assert find_breaks(records) == []
+    run.ended_at = 9.985
+    assert len(find_breaks(records)) == 1
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
@@ -152,7 +152,7 @@
     )
 
 
-def test_bad_command_lines_are_one_plain_line() -> None:
+def test_invalid_command_lines_and_plans_are_reported_in_one_line() -> None:
     assert command("sorreldock", "lab", "soak", "--seeds", "5").returncode == 2
     done = command("sorreldock.lab.soak.system_calls", "serve")
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "unknown kinds of calls" in done.stderr
