--- a/sorreldock/lab/charts.py
+++ b/sorreldock/lab/charts.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-def reconnects(figures: dict[str, dict[str, Any]], directory: Path) -> list[Path]:
+def draw_reconnects(figures: dict[str, dict[str, Any]], directory: Path) -> list[Path]:
     """Connections that came up in each 100 ms after all routers were told to stop, both sides on one
     scale.
     """
--- a/sorreldock/lab/command.py
+++ b/sorreldock/lab/command.py
@@ -14,7 +14,7 @@
 from .settings import FleetSettings
 
 
-async def _fleet(settings: FleetSettings, as_json: bool) -> None:
+async def _run_fleet(settings: FleetSettings, as_json: bool) -> None:
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
         async with trio.open_nursery() as nursery, Fleet(settings).running() as fleet:
 
@@ -42,6 +42,6 @@
             await trio.sleep_forever()
 
 
-def fleet(settings: FleetSettings, as_json: bool) -> None:
+def run_fleet(settings: FleetSettings, as_json: bool) -> None:
     """Until SIGINT or SIGTERM; then all ends."""
-    trio.run(_fleet, settings, as_json)
+    trio.run(_run_fleet, settings, as_json)
--- a/sorreldock/lab/engine.py
+++ b/sorreldock/lab/engine.py
@@ -1,11 +1,11 @@
-"""The model of one engine: continuous batching in steps, as large-model servers do it. No I/O; time is an
-argument.
-
-A step takes `step_s`, longer with a full batch, and gives each running request whose prompt has been read
-one token; within it up to `chunk_tokens` of prompts are read (chunked prefill). Beginnings of prompts that
-were read lately are kept in what memory running requests leave, and need not be read again. A cold engine
-has a share of its speed that grows in a straight line; offered more than `fall_multiple` of its present
-speed over `fall_window_s`, it falls over.
+"""A model of one engine with continuous batching in steps, as servers of large language models have it.
+
+It does no I/O, and time is an argument. A step takes `step_s`, longer with a full batch, and generates one
+token for each running request whose prompt has been read; within it, up to `chunk_tokens` of prompts are
+read (chunked prefill). Shared prefixes of recent prompts are cached in the memory that running requests leave
+free, and aren't read again. A cold engine has a share of its speed that grows linearly during warm-up; if it
+is offered more than `fall_multiple` of its present speed over `fall_window_s`, it falls over: it loses all
+requests and accepts none.
 """
 
 from __future__ import annotations
@@ -21,19 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A request, as an engine sees it; lengths in tokens. `opening` names the shared beginning of the
-    prompt.
-    """
+    """A request to an engine, with lengths in tokens; `shared_prefix` identifies the start of the prompt."""
 
     name: str
     prompt_tokens: int
     output_tokens: int
-    opening: str = ""
-    opening_tokens: int = 0
+    shared_prefix: str = ""
+    shared_prefix_tokens: int = 0
 
 
 class Verdict(Enum):
-    """How an engine takes a request."""
+    """An engine's decision on a request; the value is the text of the error that it sends."""
 
     ACCEPTED = "taken"
     FULL = "queue full"
@@ -46,27 +44,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """What one request gained at one moment."""
+    """The tokens that one step generated for a request."""
 
     name: str
     at: float
     tokens: int
     done: bool
-    cached_tokens: int  # of the prompt, which need not be read
+    cached_tokens: int  # of the prompt, from the cache of prefixes
 
 
 @dataclass(slots=True)
 class _Running:
     job: Job
-    unread: int
-    left: int
-    kept: int
-    new: int = 0
+    unread_tokens: int
+    remaining_tokens: int
+    cached_tokens: int
+    new_tokens: int = 0
 
 
 @dataclass(slots=True)
 class Load:
-    """The load that an engine reports."""
+    """The load that an engine reports: requests in flight, queue length, utilization, errors per second."""
 
     inflight: int = 0
     queue: int = 0
@@ -74,51 +72,51 @@
     eps: float = 0.0
 
     def text(self) -> str:
-        """The platform's report."""
+        """Return the report in the platform's text format."""
         return f"TEXT inflight={self.inflight}, queue={self.queue}, util={self.util:.3f}, eps={self.eps:.3f}"
 
 
 @dataclass
 class Engine:
-    """A model of an engine that batches requests."""
+    """A model of an engine that runs requests in batches."""
 
     settings: EngineSettings
-    started_at: float = -math.inf  # long ago: warm
+    started_at: float = -math.inf  # the default is long ago, so that the engine is warm
     draining: bool = False
     fallen: bool = False
     waiting: deque[Job] = field(default_factory=deque)
     running: dict[str, _Running] = field(default_factory=dict)
     step_ends_at: float | None = None
     steps: int = 0
-    taken: int = 0
-    turned_away: int = 0
+    accepted: int = 0
+    rejected: int = 0
     errors: int = 0
-    _kept: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    _kept_tokens: int = 0
-    _offered: deque[tuple[float, float]] = field(default_factory=deque)
-    _offered_s: float = 0.0
-    _failed_at: deque[float] = field(default_factory=deque)
-    _report: Load = field(default_factory=Load)
+    _prefix_cache: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    _prefix_cache_tokens: int = 0
+    _offered_work: deque[tuple[float, float]] = field(default_factory=deque)
+    _offered_work_s: float = 0.0
+    _error_times: deque[float] = field(default_factory=deque)
+    _last_report: Load = field(default_factory=Load)
     _reported_at: float = -math.inf
 
-    # What it is asked.
+    # Requests.
 
     def offer(self, now: float, job: Job) -> Verdict:
-        """Take a request, or say why not. Nothing but TAKEN has run, or will."""
-        verdict = self._judge(now, job)
+        """Accept a request, or return why not; only a request that is ACCEPTED runs."""
+        verdict = self._decide(now, job)
         if verdict is Verdict.ACCEPTED:
-            self.taken += 1
+            self.accepted += 1
             self.waiting.append(job)
             if self.step_ends_at is None:
                 self._begin_step(now)
         elif verdict is Verdict.ERROR:
             self.errors += 1
-            self._failed_at.append(now)
+            self._error_times.append(now)
         else:
-            self.turned_away += 1
+            self.rejected += 1
         return verdict
 
-    def _judge(self, now: float, job: Job) -> Verdict:
+    def _decide(self, now: float, job: Job) -> Verdict:
         s = self.settings
         if self.fallen:
             return Verdict.FALLEN
@@ -132,32 +130,32 @@
             return Verdict.ERROR
         if len(self.waiting) >= s.queue and len(self.running) >= s.batch:
             return Verdict.FULL
-        if self._falls(now, job):
-            self.fall()
+        if self._is_pushed_over(now, job):
+            self.fall_over()
             return Verdict.FALLEN
         return Verdict.ACCEPTED
 
     def work_s(self, job: Job) -> float:
-        """Seconds of a whole warm engine that a request takes, nothing of it being kept."""
+        """Return the seconds of a whole warm engine that a request takes without cached tokens."""
         s = self.settings
         return job.prompt_tokens / s.prompt_tokens_per_s + job.output_tokens * s.step_s / s.batch
 
-    def _falls(self, now: float, job: Job) -> bool:
+    def _is_pushed_over(self, now: float, job: Job) -> bool:
         s = self.settings
         share = self.speed_share(now)
         if share >= 1.0:
-            self._offered.clear()
-            self._offered_s = 0.0
+            self._offered_work.clear()
+            self._offered_work_s = 0.0
             return False
         work = self.work_s(job)
-        self._offered.append((now, work))
-        self._offered_s += work
-        while self._offered and self._offered[0][0] <= now - s.fall_window_s:
-            self._offered_s -= self._offered.popleft()[1]
-        return self._offered_s > s.fall_multiple * share * s.fall_window_s
-
-    def fall(self) -> list[str]:
-        """Fall over: all that it held is lost. Returns the names."""
+        self._offered_work.append((now, work))
+        self._offered_work_s += work
+        while self._offered_work and self._offered_work[0][0] <= now - s.fall_window_s:
+            self._offered_work_s -= self._offered_work.popleft()[1]
+        return self._offered_work_s > s.fall_multiple * share * s.fall_window_s
+
+    def fall_over(self) -> list[str]:
+        """Fall over, and return the names of the requests that are lost."""
         names = [job.name for job in self.waiting] + list(self.running)
         self.fallen = True
         self.waiting.clear()
@@ -166,8 +164,10 @@
         return names
 
     def cancel(self, now: float, name: str) -> bool:
-        """The client has gone. What runs goes on, as real servers' batches do; whether what waits is dropped
-        the settings say. Tells whether it was dropped.
+        """Cancel a request whose client has gone, and return whether it was dropped.
+
+        A waiting request is dropped if `drop_cancelled` is set; a running one completes, as in the batches of
+        real servers.
         """
         if self.settings.drop_cancelled:
             for job in self.waiting:
@@ -177,42 +177,46 @@
         return False
 
     def drain(self) -> None:
-        """Complete what it holds, and take nothing new."""
+        """Accept no new requests; those that were accepted complete."""
         self.draining = True
 
     # Time.
 
     def speed_share(self, now: float) -> float:
-        """Of its warm speed, that it has now."""
+        """Return the present share of the warm speed, from 0 to 1."""
         s = self.settings
         if s.warm_up_s <= 0 or now >= self.started_at + s.warm_up_s:
             return 1.0
         return s.cold_share + (1.0 - s.cold_share) * max(now - self.started_at, 0.0) / s.warm_up_s
 
     def next_at(self) -> float | None:
-        """When something happens next, if nothing else is asked; None: never."""
+        """Return when the current step ends; None while the engine is idle."""
         return self.step_ends_at
 
     def advance(self, now: float) -> list[Output]:
-        """Let time pass up to `now`; what came of it, in order."""
-        out: list[Output] = []
+        """Advance the model to `now`, and return the outputs of the steps that have ended, in order."""
+        outputs: list[Output] = []
         while self.step_ends_at is not None and self.step_ends_at <= now:
-            out += self._end_step(self.step_ends_at)
-        return out
+            outputs += self._end_step(self.step_ends_at)
+        return outputs
 
     def _admit(self) -> None:
         s = self.settings
         while self.waiting and len(self.running) < s.batch:
             job = self.waiting[0]
-            held = sum(r.job.prompt_tokens + r.job.output_tokens for r in self.running.values())
-            if held + job.prompt_tokens + job.output_tokens > s.memory_tokens:
+            memory_in_use = sum(r.job.prompt_tokens + r.job.output_tokens for r in self.running.values())
+            if memory_in_use + job.prompt_tokens + job.output_tokens > s.memory_tokens:
                 return
             self.waiting.popleft()
-            kept = min(self._kept.get(job.opening, 0), job.opening_tokens, max(job.prompt_tokens - 1, 0))
-            if kept:
-                self._kept.move_to_end(job.opening)
-            unread = max(job.prompt_tokens - kept, 1)
-            self.running[job.name] = _Running(job, unread, max(job.output_tokens, 1), kept)
+            cached_tokens = min(
+                self._prefix_cache.get(job.shared_prefix, 0),
+                job.shared_prefix_tokens,
+                max(job.prompt_tokens - 1, 0),
+            )
+            if cached_tokens:
+                self._prefix_cache.move_to_end(job.shared_prefix)
+            unread_tokens = max(job.prompt_tokens - cached_tokens, 1)
+            self.running[job.name] = _Running(job, unread_tokens, max(job.output_tokens, 1), cached_tokens)
 
     def _begin_step(self, now: float) -> None:
         self._admit()
@@ -220,57 +224,59 @@
             self.step_ends_at = None
             return
         s = self.settings
-        room, read = s.chunk_tokens, 0
+        free_tokens, read_tokens = s.chunk_tokens, 0
         for running in self.running.values():
-            running.new = 0
-            if running.unread and room > 0:
-                part = min(running.unread, room)
-                running.unread -= part
-                room -= part
-                read += part
-                if not running.unread:
-                    running.new = 1
-            elif not running.unread:
-                running.new = 1
-        crowd = 1.0 + s.crowd * len(self.running) / s.batch
-        took = (s.step_s * crowd + read / s.prompt_tokens_per_s) * s.slow / self.speed_share(now)
-        self.step_ends_at = now + took
+            running.new_tokens = 0
+            if running.unread_tokens and free_tokens > 0:
+                count = min(running.unread_tokens, free_tokens)
+                running.unread_tokens -= count
+                free_tokens -= count
+                read_tokens += count
+                if not running.unread_tokens:
+                    running.new_tokens = 1
+            elif not running.unread_tokens:
+                running.new_tokens = 1
+        batch_factor = 1.0 + s.crowd * len(self.running) / s.batch
+        duration_s = (
+            (s.step_s * batch_factor + read_tokens / s.prompt_tokens_per_s) * s.slow / self.speed_share(now)
+        )
+        self.step_ends_at = now + duration_s
         self.steps += 1
 
     def _end_step(self, at: float) -> list[Output]:
-        out = []
+        outputs = []
         for name, running in list(self.running.items()):
-            if not running.new:
+            if not running.new_tokens:
                 continue
-            running.left -= running.new
-            done = running.left <= 0
-            out.append(Output(name, at, running.new, done, running.kept))
+            running.remaining_tokens -= running.new_tokens
+            done = running.remaining_tokens <= 0
+            outputs.append(Output(name, at, running.new_tokens, done, running.cached_tokens))
             if done:
                 del self.running[name]
-                self._keep(running.job)
+                self._cache_prefix(running.job)
         self._begin_step(at)
-        return out
+        return outputs
 
-    def _keep(self, job: Job) -> None:
-        """Keep the opening that was read, the oldest others giving way."""
-        if not job.opening or job.opening_tokens <= 0:
+    def _cache_prefix(self, job: Job) -> None:
+        """Cache the shared prefix of a prompt, evicting those used least recently if memory is short."""
+        if not job.shared_prefix or job.shared_prefix_tokens <= 0:
             return
-        self._kept_tokens += job.opening_tokens - self._kept.pop(job.opening, 0)
-        self._kept[job.opening] = job.opening_tokens
-        held = sum(r.job.prompt_tokens + r.job.output_tokens for r in self.running.values())
-        while self._kept and self._kept_tokens + held > self.settings.memory_tokens:
-            self._kept_tokens -= self._kept.popitem(last=False)[1]
+        self._prefix_cache_tokens += job.shared_prefix_tokens - self._prefix_cache.pop(job.shared_prefix, 0)
+        self._prefix_cache[job.shared_prefix] = job.shared_prefix_tokens
+        memory_in_use = sum(r.job.prompt_tokens + r.job.output_tokens for r in self.running.values())
+        while self._prefix_cache and self._prefix_cache_tokens + memory_in_use > self.settings.memory_tokens:
+            self._prefix_cache_tokens -= self._prefix_cache.popitem(last=False)[1]
 
     def report(self, now: float) -> Load:
-        """The load, as old as `report_every_s` at most: real reports lag."""
+        """Return the load, at most `report_every_s` old: the reports of real servers lag as well."""
         if now - self._reported_at >= self.settings.report_every_s:
-            while self._failed_at and self._failed_at[0] <= now - 1.0:
-                self._failed_at.popleft()
-            self._report = Load(
+            while self._error_times and self._error_times[0] <= now - 1.0:
+                self._error_times.popleft()
+            self._last_report = Load(
                 len(self.running) + len(self.waiting),
                 len(self.waiting),
                 len(self.running) / self.settings.batch,
-                float(len(self._failed_at)),
+                float(len(self._error_times)),
             )
             self._reported_at = now
-        return self._report
+        return self._last_report
--- a/sorreldock/lab/ledger.py
+++ b/sorreldock/lab/ledger.py
@@ -1,4 +1,4 @@
-"""What the engines of a fleet saw of each request, whatever router brought it: an oracle for experiments."""
+"""A ledger of the attempts that a fleet's engines received, from all routers, to check experiments with."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @dataclass
 class Ledger:
-    """Requests by the key that their senders put in, which stays the same for all attempts of one."""
+    """Open attempts by request; the sender's key for a request is the same in all its attempts."""
 
     attempts: int = 0
-    overlaps: int = 0  # attempts that came while another of the same request was out
-    open: dict[str, int] = field(default_factory=dict)
-    most_open: int = 0
+    overlaps: int = 0  # attempts that began while another one of the same request was open
+    open: dict[str, int] = field(default_factory=dict)  # by key: number of open attempts
+    max_open: int = 0  # requests open at the same time
 
     def begin(self, key: str) -> None:
         self.attempts += 1
         if self.open.get(key):
             self.overlaps += 1
         self.open[key] = self.open.get(key, 0) + 1
-        self.most_open = max(self.most_open, len(self.open))
+        self.max_open = max(self.max_open, len(self.open))
 
     def end(self, key: str) -> None:
-        left = self.open.get(key, 0) - 1
-        if left > 0:
-            self.open[key] = left
+        remaining = self.open.get(key, 0) - 1
+        if remaining > 0:
+            self.open[key] = remaining
         else:
             self.open.pop(key, None)
--- a/sorreldock/lab/reconnect.py
+++ b/sorreldock/lab/reconnect.py
@@ -36,9 +36,9 @@
     clients: int = 200
     routers: int = 2
     seed: int = 1
-    every_s: float = 2.5  # between a client's requests, on the mean
-    before_s: float = 4.0
-    after_s: float = 10.0
+    request_interval_s: float = 2.5  # between a client's requests, on the mean
+    before_restart_s: float = 4.0
+    after_restart_s: float = 10.0
     timeout_s: float = 8.0
     max_retries: int = 1
 
@@ -70,7 +70,7 @@
 
     def figures(self) -> dict[str, Any]:
         times = np.array(sorted(self.opened))
-        bins = max(int(self.plan.after_s / BIN_S), int(times[-1] / BIN_S) + 1 if len(times) else 0)
+        bins = max(int(self.plan.after_restart_s / BIN_S), int(times[-1] / BIN_S) + 1 if len(times) else 0)
         per_bin = np.bincount((times / BIN_S).astype(int), minlength=bins) if len(times) else np.zeros(bins)
         span = float(np.percentile(times, 95) - np.percentile(times, 5)) if len(times) else 0.0
         total = sum(self.outcomes.values())
@@ -100,10 +100,10 @@
 def schedule(plan: Plan, client: int) -> list[float]:
     """When this client asks, in seconds from the start: the same for both sides."""
     rng = random.Random(f"{plan.seed}/{client}")
-    at, moments = rng.random() * plan.every_s, []
-    while at < plan.before_s + plan.after_s - 1.0:
+    at, moments = rng.random() * plan.request_interval_s, []
+    while at < plan.before_restart_s + plan.after_restart_s - 1.0:
         moments.append(at)
-        at += plan.every_s * (0.6 + 0.8 * rng.random())
+        at += plan.request_interval_s * (0.6 + 0.8 * rng.random())
     return moments
 
 
@@ -215,7 +215,7 @@
         async with trio.open_nursery() as nursery:
             for index in range(plan.clients):
                 nursery.start_soon(worker, plan, side, made, index, started_at)
-            await trio.sleep_until(started_at + plan.before_s)
+            await trio.sleep_until(started_at + plan.before_restart_s)
             side.restarted_at = trio.current_time()
             say(f"{kind}: all routers restart")
             for router in made.routers:
--- a/sorreldock/lab/serving/fleet.py
+++ b/sorreldock/lab/serving/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback: engines that speak both protocols on one port, and discovery."""
+"""A whole fleet on loopback: engines that serve both protocols on one port, and a discovery service."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from ..settings import FleetSettings
 from .grpc import GrpcConnection
 from .host import EngineHost
-from .http import Wire, serve_engine
+from .http import ServerConnection, serve_engine
 
 HOST = "127.0.0.1"
-Faults = (
+PEER_ERRORS = (
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     h11.ProtocolError,
@@ -29,8 +29,8 @@
 )
 
 
-class _Rest(trio.abc.Stream):
-    """A stream of which the first bytes have been read."""
+class _PrefixedStream(trio.abc.Stream):
+    """A stream with its first bytes, which were read before, put back."""
 
     def __init__(self, first: bytes, stream: trio.SocketStream) -> None:
         self._first, self._stream = first, stream
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """Engines by uid, their addresses, and the discovery that tells of them."""
+    """The engines by uid, their addresses, and the discovery service that lists them."""
 
     def __init__(self, settings: FleetSettings) -> None:
         self.settings = settings
@@ -59,27 +59,30 @@
         self.engines: dict[str, EngineHost] = {}
         self.addresses: dict[str, str] = {}
         self.discovery = ""
-        self._told = trio.Event()
+        self._list_changed = trio.Event()
 
-    def entries(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
+        """Return the list that discovery has at present."""
         return self.directory.full_list(trio.current_time())
 
-    def tell(self, uid: str, state: str) -> None:
-        """Publish an engine's state; a drained engine completes what it holds."""
+    def set_state(self, uid: str, state: str) -> None:
+        """Publish an engine's state, and drain the engine unless the state is Ready."""
         self.directory.set_state(trio.current_time(), uid, state)
         if state != "Ready":
             self.engines[uid].model.drain()
-        self._told.set()
-        self._told = trio.Event()
+        self._list_changed.set()
+        self._list_changed = trio.Event()
 
     def describe(self) -> dict[str, Any]:
-        return {"discovery": self.discovery, "engines": dict(self.addresses), "known": self.entries()}
+        """Return the addresses and the list, as `sorreldock lab fleet --json` prints them."""
+        return {"discovery": self.discovery, "engines": dict(self.addresses), "known": self.full_list()}
 
     def figures(self) -> dict[str, Any]:
+        """Return the counts that `GET /lab/figures` answers with."""
         engines = {
             uid: {
-                "taken": host.model.taken,
-                "turned_away": host.model.turned_away,
+                "taken": host.model.accepted,
+                "turned_away": host.model.rejected,
                 "errors": host.model.errors,
                 "steps": host.model.steps,
                 "fallen": host.model.fallen,
@@ -91,13 +94,13 @@
             "attempts": ledger.attempts,
             "overlaps": ledger.overlaps,
             "open": len(ledger.open),
-            "most_open": ledger.most_open,
+            "most_open": ledger.max_open,
             "engines": engines,
         }
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[Fleet]:
-        """On ephemeral ports of 127.0.0.1, until the block is left."""
+        """Serve on ephemeral ports of 127.0.0.1 until the block exits."""
         async with AsyncExitStack() as stack:
             nursery = await stack.enter_async_context(trio.open_nursery())
             stack.callback(nursery.cancel_scope.cancel)
@@ -119,57 +122,59 @@
     async def _listen(
         self, nursery: trio.Nursery, handler: Callable[[trio.SocketStream], Awaitable[None]]
     ) -> str:
-        async def attend(stream: trio.SocketStream) -> None:
+        async def serve_connection(stream: trio.SocketStream) -> None:
             async with stream:
-                with suppress(*Faults):  # a peer's fault ends its connection, and nothing else
+                with suppress(*PEER_ERRORS):  # an error of a peer ends only its own connection
                     try:
                         await handler(stream)
-                    except* Faults:
+                    except* PEER_ERRORS:
                         pass
 
-        listeners = await nursery.start(partial(trio.serve_tcp, attend, 0, host=HOST))
+        listeners = await nursery.start(partial(trio.serve_tcp, serve_connection, 0, host=HOST))
         return f"{HOST}:{listeners[0].socket.getsockname()[1]}"
 
     async def _serve_engine(self, host: EngineHost, stream: trio.SocketStream) -> None:
         first = bytes(await stream.receive_some(3))
-        rest = _Rest(first, stream)
+        prefixed = _PrefixedStream(first, stream)
         if first == b"PRI":
-            await GrpcConnection(host, rest).run()
+            await GrpcConnection(host, prefixed).run()
         elif first:
-            await serve_engine(host, rest)
+            await serve_engine(host, prefixed)
 
     async def _serve_discovery(self, stream: trio.SocketStream) -> None:
-        wire = Wire(stream)
-        while (got := await wire.request()) is not None:
-            target = got[0].target.decode("latin-1")
+        connection = ServerConnection(stream)
+        while (received := await connection.read_request()) is not None:
+            target = received[0].target.decode("latin-1")
             path, _, query = target.partition("?")
             if path == "/lab/figures":
-                await wire.answer(200, json.dumps(self.figures()).encode())
+                await connection.send_answer(200, json.dumps(self.figures()).encode())
             elif path != "/discovery/hosts":
-                await wire.answer(404)
+                await connection.send_answer(404)
             elif "watch=1" in query.split("&"):
                 after = next((p[6:] for p in query.split("&") if p.startswith("after=")), "0")
-                await self._watch(wire, int(after) if after.isdigit() else 0)
+                await self._watch(connection, int(after) if after.isdigit() else 0)
                 return
             else:
-                await wire.answer(200, json.dumps(self.entries()).encode())
-            if not wire.again():
+                await connection.send_answer(200, json.dumps(self.full_list()).encode())
+            if not connection.prepare_next_request():
                 return
 
-    async def _watch(self, wire: Wire, version: int) -> None:
-        await wire.start(b"application/json")
+    async def _watch(self, connection: ServerConnection, version: int) -> None:
+        await connection.send_head(b"application/json")
         first = True
         while True:
-            now, told = trio.current_time(), self._told
-            news = self.entries() if first and version == 0 else self.directory.changes_since(now, version)
+            now, list_changed = trio.current_time(), self._list_changed
+            changes = (
+                self.full_list() if first and version == 0 else self.directory.changes_since(now, version)
+            )
             first = False
-            if news is not None:
-                version = news["rev"]
-            line = (json.dumps(news).encode() if news is not None else b"") + b"\n"
-            await wire.send(h11.Data(data=line))
+            if changes is not None:
+                version = changes["rev"]
+            line = (json.dumps(changes).encode() if changes is not None else b"") + b"\n"
+            await connection.send(h11.Data(data=line))
             wait = self.settings.discovery.keep_alive_s
             visible = self.directory.next_change_at(now)
             if visible is not None:
                 wait = min(wait, visible - now)
             with trio.move_on_after(wait):
-                await told.wait()
+                await list_changed.wait()
--- a/sorreldock/lab/serving/grpc.py
+++ b/sorreldock/lab/serving/grpc.py
@@ -1,4 +1,4 @@
-"""An engine's side of KServe v2 over gRPC (h2): many streams a connection, flow control kept."""
+"""The engine's side of KServe v2 over gRPC (h2), with concurrent streams and flow control."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import Code, Deframer, GrpcError, frame, trailers
 from ..engine import Verdict
-from .host import EngineHost, job_of, words
+from .host import EngineHost, answer_text, parse_job
 
 HEAD = [(":status", "200"), ("content-type", "application/grpc")]
-LOAD = "endpoint-load-metrics"
+LOAD_REPORT_HEADER = "endpoint-load-metrics"
 TEXT = pb.ModelInferResponse.InferOutputTensor(name="text", datatype="BYTES", shape=[1])
-MOST_STREAMS = 128
-LARGEST_MESSAGE = 512 * 1024
+MAX_STREAMS = 128
+MAX_MESSAGE_BYTES = 512 * 1024
 
 
-class Call:
-    """One call at an emulated engine."""
+class Rpc:
+    """One RPC received by an emulated engine."""
 
     def __init__(self, number: int, headers: dict[str, str]) -> None:
         self.number, self.headers = number, headers
-        self.deframer = Deframer(LARGEST_MESSAGE)
+        self.deframer = Deframer(MAX_MESSAGE_BYTES)
         self.scope = trio.CancelScope()
-        self.started = False
+        self.has_started = False
 
 
 class GrpcConnection:
-    """A connection to an emulated engine that speaks gRPC."""
+    """The engine's end of a gRPC connection."""
 
     def __init__(self, host: EngineHost, stream: trio.abc.Stream) -> None:
         self.host, self.stream = host, stream
@@ -40,137 +40,147 @@
             h2.config.H2Configuration(client_side=False, header_encoding="utf-8")
         )
         self.h2.local_settings = h2.settings.Settings(
-            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MOST_STREAMS}
+            client=False, initial_values={h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_STREAMS}
         )
         self.h2.initiate_connection()
-        self.calls: dict[int, Call] = {}
-        self._turn = trio.Lock()
-        self._grew = trio.Event()
+        self.rpcs: dict[int, Rpc] = {}
+        self._send_lock = trio.Lock()
+        self._window_updated = trio.Event()
 
     async def flush(self) -> None:
-        with trio.CancelScope(shield=True) as scope:  # a frame half written would end all the others
+        """Write the data that h2 has buffered."""
+        # Shielded from cancellation: a frame that is written in part would break all streams.
+        with trio.CancelScope(shield=True) as scope:
             scope.deadline = trio.current_time() + 10.0
-            async with self._turn:
+            async with self._send_lock:
                 data = self.h2.data_to_send()
                 if data:
                     await self.stream.send_all(data)
 
     async def run(self) -> None:
+        """Serve the connection until the router closes it."""
         async with trio.open_nursery() as nursery:
             await self.flush()
             while data := await self.stream.receive_some(65536):
                 for event in self.h2.receive_data(data):
-                    self._take(event, nursery)
+                    self._handle_event(event, nursery)
                 await self.flush()
             nursery.cancel_scope.cancel()
 
-    def _take(self, event: h2.events.Event, nursery: trio.Nursery) -> None:
-        call = self.calls.get(getattr(event, "stream_id", None) or 0)
+    def _handle_event(self, event: h2.events.Event, nursery: trio.Nursery) -> None:
+        rpc = self.rpcs.get(getattr(event, "stream_id", None) or 0)
         match event:
             case h2.events.RequestReceived():
                 headers = {str(k): str(v) for k, v in event.headers or []}
-                self.calls[event.stream_id or 0] = Call(event.stream_id or 0, headers)
+                self.rpcs[event.stream_id or 0] = Rpc(event.stream_id or 0, headers)
             case h2.events.DataReceived():
                 if event.flow_controlled_length:
                     self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id or 0)
-                if call is not None:
-                    call.deframer.feed(event.data or b"")
-            case h2.events.StreamEnded() if call is not None:
-                nursery.start_soon(self._serve, call)
-            case h2.events.StreamReset() if call is not None:
-                call.scope.cancel()
+                if rpc is not None:
+                    rpc.deframer.feed(event.data or b"")
+            case h2.events.StreamEnded() if rpc is not None:
+                nursery.start_soon(self._serve, rpc)
+            case h2.events.StreamReset() if rpc is not None:
+                rpc.scope.cancel()
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
-                self._grew.set()
-                self._grew = trio.Event()
+                self._window_updated.set()
+                self._window_updated = trio.Event()
 
-    async def _send(self, call: Call, message: bytes) -> None:
-        if not call.started:
-            call.started = True
-            self.h2.send_headers(call.number, HEAD)
+    async def _send(self, rpc: Rpc, message: bytes) -> None:
+        if not rpc.has_started:
+            rpc.has_started = True
+            self.h2.send_headers(rpc.number, HEAD)
         view = frame(message)
         while view:
-            room = min(self.h2.local_flow_control_window(call.number), self.h2.max_outbound_frame_size)
-            if room <= 0:
-                grew = self._grew
+            max_bytes = min(self.h2.local_flow_control_window(rpc.number), self.h2.max_outbound_frame_size)
+            if max_bytes <= 0:
+                window_updated = self._window_updated
                 await self.flush()
-                await grew.wait()
+                await window_updated.wait()
                 continue
-            self.h2.send_data(call.number, view[:room])
-            view = view[room:]
+            self.h2.send_data(rpc.number, view[:max_bytes])
+            view = view[max_bytes:]
         await self.flush()
 
-    async def _finish(self, call: Call, code: int, message: str = "", **metadata: str) -> None:
-        fields = [(LOAD, self.host.report()), *((k.replace("_", "-"), v) for k, v in metadata.items())]
-        out = trailers(code, message, fields)
-        self.h2.send_headers(call.number, out if call.started else HEAD + out, end_stream=True)
+    async def _finish(self, rpc: Rpc, code: int, message: str = "", **metadata: str) -> None:
+        fields = [
+            (LOAD_REPORT_HEADER, self.host.report()),
+            *((k.replace("_", "-"), v) for k, v in metadata.items()),
+        ]
+        trailer_fields = trailers(code, message, fields)
+        self.h2.send_headers(
+            rpc.number, trailer_fields if rpc.has_started else HEAD + trailer_fields, end_stream=True
+        )
         await self.flush()
 
-    async def _serve(self, call: Call) -> None:
+    async def _serve(self, rpc: Rpc) -> None:
         try:
-            with call.scope:
-                await self._answer(call)
+            with rpc.scope:
+                await self._answer(rpc)
         except h2.exceptions.ProtocolError:
-            pass  # reset by the router in the same moment
+            pass  # the router reset the stream at the same time
         finally:
-            self.calls.pop(call.number, None)
+            self.rpcs.pop(rpc.number, None)
 
-    async def _answer(self, call: Call) -> None:
-        method = call.headers.get(":path", "").rpartition("/")[2]
+    async def _answer(self, rpc: Rpc) -> None:
+        method = rpc.headers.get(":path", "").rpartition("/")[2]
         try:
-            message = call.deframer.next() or b""
+            message = rpc.deframer.next() or b""
         except GrpcError as error:
-            await self._finish(call, error.code, error.message)
+            await self._finish(rpc, error.code, error.message)
             return
-        ready = not (self.host.model.draining or self.host.model.fallen)
+        is_ready = not (self.host.model.draining or self.host.model.fallen)
         match method:
             case "ServerLive":
-                await self._send(call, pb.ServerLiveResponse(live=True).SerializeToString())
-                await self._finish(call, Code.OK)
+                await self._send(rpc, pb.ServerLiveResponse(live=True).SerializeToString())
+                await self._finish(rpc, Code.OK)
             case "ServerReady":
-                await self._send(call, pb.ServerReadyResponse(ready=ready).SerializeToString())
-                await self._finish(call, Code.OK)
+                await self._send(rpc, pb.ServerReadyResponse(ready=is_ready).SerializeToString())
+                await self._finish(rpc, Code.OK)
             case "ModelInfer" | "ModelStreamInfer":
-                await self._infer(call, pb.ModelInferRequest.FromString(message), method == "ModelInfer")
+                await self._infer(rpc, pb.ModelInferRequest.FromString(message), method == "ModelInfer")
             case _:
-                await self._finish(call, Code.UNIMPLEMENTED, "not served here")
+                await self._finish(rpc, Code.UNIMPLEMENTED, "not served here")
 
-    async def _infer(self, call: Call, request: pb.ModelInferRequest, unary: bool) -> None:
+    async def _infer(self, rpc: Rpc, request: pb.ModelInferRequest, unary: bool) -> None:
         host = self.host
         raw = request.raw_input_contents[0] if request.raw_input_contents else b""
         body = raw[4:] if int.from_bytes(raw[:4], "little") == len(raw) - 4 else raw
-        name = f"{request.id or 'call'}-{id(call):x}"
-        job, key = job_of(name, body, host.settings)
+        name = f"{request.id or 'call'}-{id(rpc):x}"
+        job, key = parse_job(name, body, host.settings)
         key = request.id or key if key == name else key
         pending = host.start(job, key)
         if isinstance(pending, Verdict):
             if pending is Verdict.ERROR:
-                await self._finish(call, Code.INTERNAL, "error")
+                await self._finish(rpc, Code.INTERNAL, "error")
             else:
-                await self._finish(call, Code.UNAVAILABLE, pending.value, x_never_ran="1")
+                await self._finish(rpc, Code.UNAVAILABLE, pending.value, x_never_ran="1")
             return
-        whole = False
+        is_complete = False
         try:
-            made, held, started, text = 0, 0, False, ""
+            sent_tokens, pending_tokens, has_started, text = 0, 0, False, ""
             while (output := await pending.get()) is not None:
-                held += output.tokens
-                if not output.done and (unary or (started and held < host.settings.tokens_per_event)):
+                pending_tokens += output.tokens
+                if not output.done and (
+                    unary or (has_started and pending_tokens < host.settings.tokens_per_event)
+                ):
                     continue
-                started = True
-                text = words(request.id, made, held)
-                made, held = made + held, 0
-                out = pb.ModelInferResponse(
+                has_started = True
+                text = answer_text(request.id, sent_tokens, pending_tokens)
+                sent_tokens, pending_tokens = sent_tokens + pending_tokens, 0
+                response = pb.ModelInferResponse(
                     model_name=request.model_name,
                     id=request.id,
                     outputs=[TEXT],
                     raw_output_contents=[len(text.encode()).to_bytes(4, "little") + text.encode()],
                 )
-                piece = out if unary else pb.ModelStreamInferResponse(infer_response=out)
-                await self._send(call, piece.SerializeToString())
+                message = response if unary else pb.ModelStreamInferResponse(infer_response=response)
+                await self._send(rpc, message.SerializeToString())
                 if output.done:
-                    whole = True
-                    await self._finish(call, Code.OK)
+                    is_complete = True
+                    await self._finish(rpc, Code.OK)
                     break
-            if not whole:
-                await self._finish(call, Code.INTERNAL, "fallen over")
+            if not is_complete:
+                await self._finish(rpc, Code.INTERNAL, "fallen over")
         finally:
-            host.done(job, key, whole)
+            host.finish(job, key, is_complete)
--- a/sorreldock/lab/serving/http.py
+++ b/sorreldock/lab/serving/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the lab's peers (h11), and an engine's side of the platform's protocol on it."""
+"""HTTP/1.1 connections of emulated servers (h11), and the engine's side of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 import trio
 
 from ..engine import Verdict
-from .host import EngineHost, job_of, words
+from .host import EngineHost, answer_text, parse_job
 
-LARGEST_BODY = 512 * 1024
+MAX_BODY_BYTES = 512 * 1024
 SERVED_PATH = "/v1/chat/completions"
-REPORT = b"Endpoint-Load-Metrics"
-Close = (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError)
+LOAD_REPORT_HEADER = b"Endpoint-Load-Metrics"
+CLOSE_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError)
 
 
-class Wire:
-    """The server's end of a connection."""
+class ServerConnection:
+    """The server's end of an HTTP/1.1 connection."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
         self.parser = h11.Connection(h11.SERVER)
 
     async def send(self, *events: h11.Event) -> None:
+        """Write h11 events with one call of `send_all`."""
         await self.stream.send_all(b"".join(self.parser.send(event) or b"" for event in events))
 
-    async def _next(self) -> h11.Event | None:
+    async def _next_event(self) -> h11.Event | None:
         while True:
             event = self.parser.next_event()
             if event is h11.NEED_DATA:
@@ -37,120 +38,130 @@
             else:
                 return event  # type: ignore[return-value]
 
-    async def request(self) -> tuple[h11.Request, bytes] | None:
-        """The next whole request; None at the connection's end."""
-        head = await self._next()
+    async def read_request(self) -> tuple[h11.Request, bytes] | None:
+        """Read the next whole request; return None at the connection's end or if the body is too large."""
+        head = await self._next_event()
         if not isinstance(head, h11.Request):
             return None
         body = bytearray()
-        while isinstance(event := await self._next(), h11.Data):
+        while isinstance(event := await self._next_event(), h11.Data):
             body += event.data
-            if len(body) > LARGEST_BODY:
+            if len(body) > MAX_BODY_BYTES:
                 return None
         return (head, bytes(body)) if isinstance(event, h11.EndOfMessage) else None
 
-    async def answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
+    async def send_answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
+        """Send a whole answer."""
         head = h11.Response(
             status_code=status, headers=[*headers, (b"content-length", str(len(body)).encode())]
         )
         await self.send(head, h11.Data(data=body), h11.EndOfMessage())
 
-    async def start(self, kind: bytes) -> None:
+    async def send_head(self, content_type: bytes) -> None:
+        """Send the header section of a chunked answer with status 200."""
         head = h11.Response(
-            status_code=200, headers=[(b"content-type", kind), (b"transfer-encoding", b"chunked")]
+            status_code=200, headers=[(b"content-type", content_type), (b"transfer-encoding", b"chunked")]
         )
         await self.send(head)
 
-    def again(self) -> bool:
-        """Make ready for the next request, if the connection can carry one."""
+    def prepare_next_request(self) -> bool:
+        """Reset the parser for the next request; return False if the connection can't carry one."""
         if self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE:
             return False
         self.parser.start_next_cycle()
         return True
 
 
-def field(head: h11.Request, name: bytes) -> str:
+def header_value(head: h11.Request, name: bytes) -> str:
+    """Return the first value of a header, or an empty string; `name` is in lower case."""
     return next((v.decode("latin-1") for k, v in head.headers if k == name), "")
 
 
-async def until_left(wire: Wire, cancel: Callable[[], None]) -> None:
-    """The router closes its connection, or ends its sending on it, to give an attempt up."""
+async def cancel_when_closed(connection: ServerConnection, cancel: Callable[[], None]) -> None:
+    """Call `cancel` as soon as the router closes its side of the connection, which cancels the attempt."""
     try:
-        while data := await wire.stream.receive_some(65536):
-            wire.parser.receive_data(bytes(data))
-    except Close:
+        while data := await connection.stream.receive_some(65536):
+            connection.parser.receive_data(bytes(data))
+    except CLOSE_ERRORS:
         pass
     cancel()
 
 
-def event(delta: str, finish: str | None) -> bytes:
+def format_event(delta: str, finish: str | None) -> bytes:
+    """Return a server-sent event with a piece of a chat completion."""
     choice = {"index": 0, "delta": {"content": delta} if delta else {}, "finish_reason": finish}
     return b"data: " + json.dumps({"choices": [choice]}, separators=(",", ":")).encode() + b"\n\n"
 
 
 async def serve_engine(host: EngineHost, stream: trio.abc.Stream) -> None:
-    """One connection of a router."""
-    wire = Wire(stream)
-    while (got := await wire.request()) is not None:
-        head, body = got
+    """Serve one HTTP/1.1 connection of a router."""
+    connection = ServerConnection(stream)
+    while (received := await connection.read_request()) is not None:
+        head, body = received
         path = head.target.partition(b"?")[0].decode("latin-1")
-        report = (REPORT, host.report().encode())
+        report = (LOAD_REPORT_HEADER, host.report().encode())
         if path in ("/alive", "/metrics/load"):
             status = 503 if host.model.draining or host.model.fallen else 200
-            await wire.answer(status, host.report().encode() if path == "/metrics/load" else b"", report)
+            await connection.send_answer(
+                status, host.report().encode() if path == "/metrics/load" else b"", report
+            )
         elif path != SERVED_PATH or head.method != b"POST":
-            await wire.answer(404)
-        elif not (name := field(head, b"x-trace-id")):
-            await wire.answer(400)
+            await connection.send_answer(404)
+        elif not (name := header_value(head, b"x-trace-id")):
+            await connection.send_answer(400)
         else:
-            await _serve(host, wire, name, body, report)
-        if not wire.again():
+            await _serve(host, connection, name, body, report)
+        if not connection.prepare_next_request():
             return
 
 
-async def _serve(host: EngineHost, wire: Wire, name: str, body: bytes, report: tuple[bytes, bytes]) -> None:
-    job, key = job_of(name, body, host.settings)
+async def _serve(
+    host: EngineHost, connection: ServerConnection, name: str, body: bytes, report: tuple[bytes, bytes]
+) -> None:
+    job, key = parse_job(name, body, host.settings)
     pending = host.start(job, key)
     if isinstance(pending, Verdict):
         if pending is Verdict.ERROR:
-            await wire.answer(500, b"", report)
+            await connection.send_answer(500, b"", report)
         elif pending is Verdict.DUPLICATE:
-            await wire.answer(409)
+            await connection.send_answer(409)
         elif pending is Verdict.FALLEN:
-            await wire.stream.aclose()  # nobody answers on a server that lies down
+            await connection.stream.aclose()  # an engine that has fallen over sends no answer
         else:
-            await wire.answer(503, b"", report, (b"X-Never-Ran", b"1"))
+            await connection.send_answer(503, b"", report, (b"X-Never-Ran", b"1"))
         return
-    whole = False
+    is_complete = False
     try:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(until_left, wire, nursery.cancel_scope.cancel)
-            made, held, started = 0, 0, False
+            nursery.start_soon(cancel_when_closed, connection, nursery.cancel_scope.cancel)
+            sent_tokens, pending_tokens, has_started = 0, 0, False
             while (output := await pending.get()) is not None:
-                held += output.tokens
-                if started and not output.done and held < host.settings.tokens_per_event:
+                pending_tokens += output.tokens
+                if has_started and not output.done and pending_tokens < host.settings.tokens_per_event:
                     continue
-                if not started:
-                    started = True
-                    await wire.start(b"text/event-stream")
-                out = event(words(name, made, held), "stop" if output.done else None)
-                made, held = made + held, 0
-                await wire.send(h11.Data(data=out))
+                if not has_started:
+                    has_started = True
+                    await connection.send_head(b"text/event-stream")
+                out = format_event(
+                    answer_text(name, sent_tokens, pending_tokens), "stop" if output.done else None
+                )
+                sent_tokens, pending_tokens = sent_tokens + pending_tokens, 0
+                await connection.send(h11.Data(data=out))
                 if output.done:
                     usage = {
                         "prompt_tokens": job.prompt_tokens,
-                        "completion_tokens": made,
+                        "completion_tokens": sent_tokens,
                         "prompt_tokens_details": {"cached_tokens": output.cached_tokens},
                     }
-                    closing = {"choices": [], "usage": usage}
-                    tail = b"data: " + json.dumps(closing, separators=(",", ":")).encode() + b"\n\n"
-                    tail += b"data: [DONE]\n\n"
-                    tail += b": " + REPORT + b": " + host.report().encode() + b"\n\n"
-                    await wire.send(h11.Data(data=tail), h11.EndOfMessage())
-                    whole = True
+                    usage_event = {"choices": [], "usage": usage}
+                    data = b"data: " + json.dumps(usage_event, separators=(",", ":")).encode() + b"\n\n"
+                    data += b"data: [DONE]\n\n"
+                    data += b": " + LOAD_REPORT_HEADER + b": " + host.report().encode() + b"\n\n"
+                    await connection.send(h11.Data(data=data), h11.EndOfMessage())
+                    is_complete = True
                     break
             nursery.cancel_scope.cancel()
     finally:
-        host.done(job, key, whole)
-    if not whole:
-        await wire.stream.aclose()
+        host.finish(job, key, is_complete)
+    if not is_complete:
+        await connection.stream.aclose()
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -168,9 +168,9 @@
     discovery = world.discovery
     match fault.kind:
         case "list-late":
-            discovery.directory.late_s = fault.amount
+            discovery.directory.delay_s = fault.amount
             await trio.sleep(fault.for_s)
-            discovery.directory.late_s = 0.0
+            discovery.directory.delay_s = 0.0
             discovery.wake()
         case "list-stale":
             discovery.stale = True
--- a/sorreldock/program/optional_commands.py
+++ b/sorreldock/program/optional_commands.py
@@ -92,7 +92,7 @@
         from ..lab import command
         from ..lab.settings import load
 
-        command.fleet(load(file), as_json)
+        command.run_fleet(load(file), as_json)
 
 
 @lab.command("check")
@@ -128,7 +128,7 @@
         report = (lambda line: None) if as_json else (lambda line: print(line, file=sys.stderr))
         figures = reconnect.run(path, load(path), plan, report)
         if chart is not None:
-            charts.reconnects(figures, chart)
+            charts.draw_reconnects(figures, chart)
     print(json.dumps(figures) if as_json else format_columns(figures))
 
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -500,7 +500,7 @@
 
 def test_200_clients_spread_their_reconnections_when_all_routers_restart() -> None:
     path = ROOT / "deploy" / "lab" / "reconnect.toml"
-    plan = reconnect.Plan(before_s=2.0, after_s=6.0)
+    plan = reconnect.Plan(before_restart_s=2.0, after_restart_s=6.0)
     side = trio.run(partial(reconnect.run_side, path, load(path), plan, "library", lambda line: None))
     figures = side.figures()
     assert figures["peak_per_100ms"] < plan.clients / 10, figures
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -26,8 +26,10 @@
 )
 
 
-def job(name: str, prompt: int = 100, output: int = 3, opening: str = "", opening_tokens: int = 0) -> Job:
-    return Job(name, prompt, output, opening, opening_tokens)
+def job(
+    name: str, prompt: int = 100, output: int = 3, shared_prefix: str = "", shared_prefix_tokens: int = 0
+) -> Job:
+    return Job(name, prompt, output, shared_prefix, shared_prefix_tokens)
 
 
 def run(engine: Engine, until: float = 1e9) -> dict[str, list[float]]:
@@ -67,14 +69,19 @@
 def test_openings_are_kept_and_the_oldest_gives_way() -> None:
     engine = Engine(PLAIN)
     first = []
-    for name, opening in (("a", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "x")):
+    for name, shared_prefix in (("a", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "x")):
         now = float(len(first))
-        engine.offer(now, job(name, prompt=100, output=1, opening=opening, opening_tokens=80))
+        engine.offer(
+            now, job(name, prompt=100, output=1, shared_prefix=shared_prefix, shared_prefix_tokens=80)
+        )
         first.append(round(run(engine)[name][0] - now, 6))
     assert first == [0.11, 0.03, 0.11, 0.11, 0.03]
     tight = Engine(EngineSettings(memory_tokens=200, step_s=0.01, prompt_tokens_per_s=1000.0, crowd=0.0))
-    for now, opening in enumerate("xyzx"):
-        tight.offer(float(now), job(f"{now}", prompt=100, output=1, opening=opening, opening_tokens=90))
+    for now, shared_prefix in enumerate("xyzx"):
+        tight.offer(
+            float(now),
+            job(f"{now}", prompt=100, output=1, shared_prefix=shared_prefix, shared_prefix_tokens=90),
+        )
         kept = [o.cached_tokens for o in tight.advance(now + 0.9)]
     assert kept == [0]
 
@@ -118,7 +125,7 @@
 
 
 def test_discovery_tells_late_in_order_and_from_where_a_watch_left_off() -> None:
-    directory = Directory(late_s=1.0)
+    directory = Directory(delay_s=1.0)
     directory.publish(0.0, Entry("a", "h:1", "z"))
     directory.publish(0.5, Entry("b", "h:2", "z"))
     directory.set_state(0.9, "a", "Terminating")
@@ -143,7 +150,7 @@
     ledger.end("a")
     ledger.end("a")
     ledger.begin("a")
-    assert (ledger.attempts, ledger.overlaps, ledger.most_open) == (4, 1, 2)
+    assert (ledger.attempts, ledger.overlaps, ledger.max_open) == (4, 1, 2)
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
