--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -1,4 +1,4 @@
-"""What the benchmarks' servers answer: the same nine events at once, whatever the request."""
+"""The benchmarks' server, which answers every request at once with the same nine events."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 BODY = json.dumps({"model": "alt-text", "messages": [{"role": "user", "content": "x" * 400}]}).encode()
 
 
-class Answers(asyncio.Protocol):
-    """Every request ends with the body's last bytes; nothing else is looked at."""
+class FixedAnswerProtocol(asyncio.Protocol):
+    """A protocol that answers whenever the last bytes of `BODY` arrive, without parsing the request."""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.held = b""
+        self.received = b""
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        if self.held.endswith(BODY[-20:]):
-            self.held = b""
+        self.received += data
+        if self.received.endswith(BODY[-20:]):
+            self.received = b""
             self.transport.write(ANSWER)
 
 
-def serve(told: Connection) -> None:
-    """Answer on a port of 127.0.0.1, which `told` hears; for a process of its own."""
+def serve(port_pipe: Connection) -> None:
+    """Serve on a port of 127.0.0.1, which is sent to `port_pipe`; runs in a process of its own."""
 
     async def main() -> None:
-        server = await asyncio.get_running_loop().create_server(Answers, "127.0.0.1", 0)
-        told.send(server.sockets[0].getsockname()[1])
+        server = await asyncio.get_running_loop().create_server(FixedAnswerProtocol, "127.0.0.1", 0)
+        port_pipe.send(server.sockets[0].getsockname()[1])
         await server.serve_forever()
 
     asyncio.run(main())
--- a/sorreldock/lab/charts.py
+++ b/sorreldock/lab/charts.py
@@ -7,8 +7,9 @@
 
 
 def draw_reconnects(figures: dict[str, dict[str, Any]], directory: Path) -> list[Path]:
-    """Connections that came up in each 100 ms after all routers were told to stop, both sides on one
-    scale.
+    """Draw the connections opened in each 100 ms after SIGTERM to all routers, and return the files.
+
+    Both kinds of clients are drawn on the same scale.
     """
     import matplotlib
 
@@ -16,15 +17,18 @@
     matplotlib.rcParams["svg.hashsalt"] = "sorreldock"
     from matplotlib import pyplot
 
-    sides = [("naive", "reconnect and retry at once", "#b3452c"), ("library", "sorreldock.client", "#2c6db3")]
+    client_kinds = [
+        ("naive", "reconnect and retry at once", "#b3452c"),
+        ("library", "sorreldock.client", "#2c6db3"),
+    ]
     figure, axes = pyplot.subplots(2, 1, sharex=True, sharey=True, figsize=(8, 5), layout="constrained")
-    for axis, (name, label, colour) in zip(axes, sides, strict=True):
-        side = figures[name]
-        bins = side["reconnects_per_100ms"]
+    for axis, (name, label, colour) in zip(axes, client_kinds, strict=True):
+        row = figures[name]
+        bins = row["reconnects_per_100ms"]
         axis.bar([n / 10 for n in range(len(bins))], bins, width=0.09, align="edge", color=colour)
         axis.set_title(
-            f"{label}: peak {side['peak_per_100ms']} in 100 ms, p5 to p95 {side['span_p5_p95_s']:.1f} s, "
-            f"in time {side['in_time_share']:.1%}",
+            f"{label}: peak {row['peak_per_100ms']} in 100 ms, p5 to p95 {row['span_p5_p95_s']:.1f} s, "
+            f"in time {row['in_time_share']:.1%}",
             fontsize=10,
         )
         axis.set_ylabel("connections")
--- a/sorreldock/lab/command.py
+++ b/sorreldock/lab/command.py
@@ -1,4 +1,4 @@
-"""`sorreldock lab fleet`: a fleet in the foreground."""
+"""`sorreldock lab fleet`: an emulated fleet that runs in the foreground."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
                     nursery.cancel_scope.cancel()
 
             async def stop_at_end_of_input() -> None:
-                """Whoever started this through a pipe has gone: so does the fleet."""
-                async with trio.lowlevel.FdStream(os.dup(0)) as given:
-                    async for _ in given:
+                """Stop the fleet at the end of a pipe: the process that started it has exited."""
+                async with trio.lowlevel.FdStream(os.dup(0)) as standard_input:
+                    async for _ in standard_input:
                         pass
                 nursery.cancel_scope.cancel()
 
@@ -43,5 +43,5 @@
 
 
 def run_fleet(settings: FleetSettings, as_json: bool) -> None:
-    """Until SIGINT or SIGTERM; then all ends."""
+    """Run a fleet until SIGINT, SIGTERM, or the end of a pipe on standard input."""
     trio.run(_run_fleet, settings, as_json)
--- a/sorreldock/lab/demo.py
+++ b/sorreldock/lab/demo.py
@@ -1,4 +1,4 @@
-"""`sorreldock demo`: an emulated fleet and two real routers, until Ctrl-C."""
+"""`sorreldock demo`: an emulated fleet and router processes, until Ctrl-C."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 import trio
 
-from .processes import Cluster, cluster
+from .processes import Cluster, start_cluster
 from .settings import FleetSettings
 
-CHAT = {
+EXAMPLE_CHAT = {
     "model": "alt-text",
     "stream": True,
     "max_tokens": 40,
@@ -23,31 +23,31 @@
 }
 
 
-def command() -> str:
-    """How to call this program's commands again, as the person did."""
+def program_command() -> str:
+    """Return the command line with which the user started this program."""
     return os.environ.get("SORRELDOCK_RUN") or f"{shlex.quote(sys.executable)} -m sorreldock"
 
 
-def lines(made: Cluster) -> list[str]:
-    """What can be pasted into another terminal."""
-    name, tenants = made.settings.classes[0].name, made.settings.tenants
+def example_commands(cluster: Cluster) -> list[str]:
+    """Return commands that can be pasted into another terminal."""
+    class_name, tenants = cluster.settings.classes[0].name, cluster.settings.tenants
     tenant = f" --tenant {tenants[0].name}" if tenants else ""
     customer = f" -H 'X-Customer: {tenants[0].name}'" if tenants else ""
-    prompt = shlex.quote(str(CHAT["messages"][0]["content"]))  # type: ignore[index]
-    routers = " ".join(f"--router {address}" for address in made.http)
-    grpc = " ".join(f"--router {address}" for address in made.kserve)
+    prompt = shlex.quote(str(EXAMPLE_CHAT["messages"][0]["content"]))  # type: ignore[index]
+    routers = " ".join(f"--router {address}" for address in cluster.http)
+    grpc = " ".join(f"--router {address}" for address in cluster.kserve)
     return [
-        f"{command()} ask {routers} --class {name}{tenant} {prompt}",
-        f"curl -sN http://{made.http[0]}/v1/chat/completions -H 'X-Trace-Id: '$RANDOM$RANDOM"
-        f" -H 'X-Qos: {name}'{customer} -H 'X-Expires-In: 4000m'"
-        f" -H 'Content-Type: application/json' -d {shlex.quote(json.dumps(CHAT))}",
-        f"{command()} ask --protocol kserve {grpc} --class {name}{tenant} {prompt}",
+        f"{program_command()} ask {routers} --class {class_name}{tenant} {prompt}",
+        f"curl -sN http://{cluster.http[0]}/v1/chat/completions -H 'X-Trace-Id: '$RANDOM$RANDOM"
+        f" -H 'X-Qos: {class_name}'{customer} -H 'X-Expires-In: 4000m'"
+        f" -H 'Content-Type: application/json' -d {shlex.quote(json.dumps(EXAMPLE_CHAT))}",
+        f"{program_command()} ask --protocol kserve {grpc} --class {class_name}{tenant} {prompt}",
     ]
 
 
-async def demo(file: Path, settings: FleetSettings, routers: int, say: Callable[[str], None]) -> None:
-    """Ends at SIGINT, SIGTERM or SIGHUP, with every process that it started."""
-    since = trio.current_time()
+async def demo(file: Path, settings: FleetSettings, routers: int, show: Callable[[str], None]) -> None:
+    """Run the demo until SIGINT, SIGTERM or SIGHUP, then stop every process that it started."""
+    started_at = trio.current_time()
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
 
@@ -56,22 +56,26 @@
                     nursery.cancel_scope.cancel()
 
             nursery.start_soon(stop)
-            async with cluster(file, settings, routers) as made:
-                ask, curl, grpc = lines(made)
-                say(f"ready in {trio.current_time() - since:.1f} s")
-                say(f"fleet     {len(made.fleet['engines'])} engines, discovery {made.fleet['discovery']}")
-                for router in made.routers:
-                    say(f"router    {router.name}: HTTP {router.http}, KServe v2 over gRPC {router.kserve}")
-                say("")
-                say("In another terminal:")
-                say(f"  {ask}")
-                say(f"  {curl}")
-                say(f"  {grpc}")
-                say("")
-                say("Ctrl-C ends all of it.")
+            async with start_cluster(file, settings, routers) as cluster:
+                ask, curl, grpc = example_commands(cluster)
+                show(f"ready in {trio.current_time() - started_at:.1f} s")
+                show(
+                    f"fleet     {len(cluster.fleet['engines'])} engines, "
+                    f"discovery {cluster.fleet['discovery']}"
+                )
+                for router in cluster.routers:
+                    show(f"router    {router.name}: HTTP {router.http}, KServe v2 over gRPC {router.kserve}")
+                show("")
+                show("In another terminal:")
+                show(f"  {ask}")
+                show(f"  {curl}")
+                show(f"  {grpc}")
+                show("")
+                show("Ctrl-C stops all of it.")
                 await trio.sleep_forever()
-    say("ended")
+    show("stopped")
 
 
-def run(file: Path, settings: FleetSettings, routers: int, say: Callable[[str], None]) -> None:
-    trio.run(demo, file, settings, routers, say)
+def run(file: Path, settings: FleetSettings, routers: int, show: Callable[[str], None]) -> None:
+    """Run the demo, and pass each line of its output to `show`."""
+    trio.run(demo, file, settings, routers, show)
--- a/sorreldock/lab/processes.py
+++ b/sorreldock/lab/processes.py
@@ -1,4 +1,4 @@
-"""A fleet and real routers as processes on loopback: started together, ended together, none left behind."""
+"""A fleet and routers as processes on loopback, which are started and stopped together."""
 
 from __future__ import annotations
 
@@ -24,54 +24,56 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 HOST = "127.0.0.1"
-READY_S = 15.0
-STOP_S = 20.0  # then SIGKILL
-PR_SET_PDEATHSIG = 1
+READY_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 20.0  # from SIGTERM to SIGKILL
+PR_SET_PDEATHSIG = 1  # of prctl(2)
 
 
 def free_port() -> int:
-    """A port that nobody listens on. Another process may take it before it is used; the start then fails."""
-    with socket.create_server((HOST, 0)) as made:
-        return int(made.getsockname()[1])
+    """Return a free port; a start on it fails if another process takes it first."""
+    with socket.create_server((HOST, 0)) as server:
+        return int(server.getsockname()[1])
 
 
-def _die_with_parent() -> Callable[[], None] | None:
-    """For a child before it runs: it ends when this process does, even by SIGKILL (Linux prctl(2))."""
+def _parent_death_hook() -> Callable[[], None] | None:
+    """Return a hook that makes a child process receive SIGTERM when this process exits, even by SIGKILL.
+
+    It is called in the child before exec, and needs Linux's prctl(2); None on other systems.
+    """
     if not sys.platform.startswith("linux"):
         return None
     prctl = ctypes.CDLL(None).prctl
 
-    def tie() -> None:
+    def set_signal() -> None:
         prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
-    return tie
+    return set_signal
 
 
 def start_command(
-    words: list[str], environment: dict[str, str], module: str = "sorreldock", **options: Any
+    arguments: list[str], environment: dict[str, str], module: str = "sorreldock", **options: Any
 ) -> subprocess.Popen[bytes]:
-    """Start a command line in a session of its own.
-
-    A terminal's Ctrl-C reaches this process alone, which ends its children.
+    """Start a command of this program in a session of its own.
 
-    Not trio's `open_process`: it starts children from a worker thread, and to the kernel that thread is the
-    parent whose death they are tied to.
+    A terminal's Ctrl-C thus signals this process alone, which stops its children. trio's `open_process` isn't
+    used, since it starts children from a worker thread: for the kernel, that thread is the parent whose end
+    signals them.
     """
     return subprocess.Popen(
-        [sys.executable, "-m", module, *words],
+        [sys.executable, "-m", module, *arguments],
         cwd=ROOT,
         env=environment,
         start_new_session=True,
-        preexec_fn=_die_with_parent(),
+        preexec_fn=_parent_death_hook(),
         **options,
     )
 
 
-async def end(process: subprocess.Popen[bytes], number: int = signal.SIGTERM) -> int:
-    """Tell a child to stop, wait, and kill it if it does not; its exit status."""
+async def stop_process(process: subprocess.Popen[bytes], number: int = signal.SIGTERM) -> int:
+    """Send a signal to a child, wait for its exit, kill it after a timeout; return its exit status."""
     with contextlib.suppress(ProcessLookupError):
         process.send_signal(number)
-    with trio.move_on_after(STOP_S):
+    with trio.move_on_after(STOP_TIMEOUT_S):
         while (status := process.poll()) is None:
             await trio.sleep(0.01)
         return status
@@ -81,7 +83,7 @@
 
 @dataclass
 class RouterProcess:
-    """One real router, which keeps its name, addresses and files through restarts."""
+    """One router process, which keeps its name, addresses and files across restarts."""
 
     name: str
     directory: Path
@@ -90,6 +92,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
+        """Start the process, without waiting until it serves."""
         environment = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
         environment["RELAY_CONFIG"] = str(self.directory / f"{self.name}.json")
         with open(self.directory / f"{self.name}.log", "ab") as log:
@@ -102,25 +105,26 @@
             )
 
     async def ready(self) -> None:
-        """Wait until `GET /up` is 200; LabError with the log's last line if it never is."""
-        with trio.move_on_after(READY_S):
+        """Wait until `GET /up` returns 200; raise LabError with the last log line if it doesn't in time."""
+        with trio.move_on_after(READY_TIMEOUT_S):
             while True:
                 assert self.process is not None
                 if self.process.poll() is not None:
                     break
-                if await _up(self.http):
+                if await _is_up(self.http):
                     return
                 await trio.sleep(0.02)
         lines = (self.directory / f"{self.name}.log").read_text(errors="replace").splitlines()
-        raise LabError(f"router {self.name} did not start: {lines[-1] if lines else 'it said nothing'}")
+        raise LabError(f"router {self.name} did not start: {lines[-1] if lines else 'its log is empty'}")
 
     async def stop(self) -> None:
+        """Stop the process with SIGTERM, if it runs."""
         if self.process is not None:
-            await end(self.process)
+            await stop_process(self.process)
             self.process = None
 
 
-async def _up(address: str) -> bool:
+async def _is_up(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
         async with await trio.open_tcp_stream(host, int(port)) as stream:
@@ -132,7 +136,7 @@
 
 @dataclass
 class Cluster:
-    """A fleet process and its routers."""
+    """A running fleet, as its process describes it, and its routers."""
 
     settings: FleetSettings
     fleet: dict[str, Any]
@@ -140,24 +144,26 @@
 
     @property
     def http(self) -> list[str]:
+        """The addresses at which the routers serve HTTP/1.1."""
         return [router.http for router in self.routers]
 
     @property
     def kserve(self) -> list[str]:
+        """The addresses at which the routers serve KServe v2 over gRPC."""
         return [router.kserve for router in self.routers]
 
     async def figures(self) -> dict[str, Any]:
-        """What the engines have seen (`GET /lab/figures` of the fleet)."""
+        """Return the counts of the fleet's engines (`GET /lab/figures`)."""
         host, _, port = self.fleet["discovery"].rpartition(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
             await stream.send_all(b"GET /lab/figures HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
             data = b"".join([bytes(part) async for part in stream])
-        made = json.loads(data.partition(b"\r\n\r\n")[2])
-        assert isinstance(made, dict)
-        return made
+        figures = json.loads(data.partition(b"\r\n\r\n")[2])
+        assert isinstance(figures, dict)
+        return figures
 
 
-def _write(directory: Path, cluster: Cluster, index: int, count: int) -> RouterProcess:
+def _write_router_files(directory: Path, cluster: Cluster, index: int, count: int) -> RouterProcess:
     settings, fleet = cluster.settings, cluster.fleet
     name = f"r{index}"
     router = RouterProcess(name, directory, f"{HOST}:{free_port()}", f"{HOST}:{free_port()}")
@@ -186,11 +192,11 @@
 
 
 @asynccontextmanager
-async def cluster(file: Path, settings: FleetSettings, routers: int) -> AsyncIterator[Cluster]:
-    """A fleet and this many routers, ready; all of them have ended when the block is left."""
+async def start_cluster(file: Path, settings: FleetSettings, routers: int) -> AsyncIterator[Cluster]:
+    """Start a fleet and routers, yield them when all are ready, and stop them when the block exits."""
     directory = Path(tempfile.mkdtemp(prefix="sorreldock-lab-"))
     fleet: subprocess.Popen[bytes] | None = None
-    made: Cluster | None = None
+    cluster: Cluster | None = None
     try:
         fleet = start_command(
             ["lab", "fleet", str(file.resolve()), "--json"],
@@ -200,31 +206,33 @@
         )
         assert fleet.stdout is not None
         line = b""
-        async with trio.lowlevel.FdStream(os.dup(fleet.stdout.fileno())) as said:
-            with trio.move_on_after(READY_S):
-                while not line.endswith(b"\n") and (more := await said.receive_some(65536)):
+        async with trio.lowlevel.FdStream(os.dup(fleet.stdout.fileno())) as output:
+            with trio.move_on_after(READY_TIMEOUT_S):
+                while not line.endswith(b"\n") and (more := await output.receive_some(65536)):
                     line += bytes(more)
         if not line.endswith(b"\n"):
             raise LabError(f"the fleet of {file} did not start")
-        made = Cluster(settings, json.loads(line))
-        made.routers = [_write(directory, made, index, routers) for index in range(routers)]
+        cluster = Cluster(settings, json.loads(line))
+        cluster.routers = [
+            _write_router_files(directory, cluster, index, routers) for index in range(routers)
+        ]
         async with trio.open_nursery() as nursery:
-            for router in made.routers:
-                nursery.start_soon(_start_ready, router)
-        yield made
+            for router in cluster.routers:
+                nursery.start_soon(_start_router, router)
+        yield cluster
     finally:
         with trio.CancelScope(shield=True):
             async with trio.open_nursery() as nursery:
-                for router in made.routers if made is not None else ():
+                for router in cluster.routers if cluster is not None else ():
                     nursery.start_soon(router.stop)
             if fleet is not None:
-                await end(fleet)
+                await stop_process(fleet)
                 for pipe in (fleet.stdin, fleet.stdout):
                     if pipe is not None:
                         pipe.close()
             shutil.rmtree(directory, ignore_errors=True)
 
 
-async def _start_ready(router: RouterProcess) -> None:
+async def _start_router(router: RouterProcess) -> None:
     router.start()
     await router.ready()
--- a/sorreldock/lab/settings.py
+++ b/sorreldock/lab/settings.py
@@ -1,4 +1,4 @@
-"""An emulated fleet, as an operator's TOML describes it (`deploy/lab/*.toml`)."""
+"""Settings of an emulated fleet, read from a TOML file (`deploy/lab/*.toml`)."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 
 
 class LabError(ValueError):
-    """A file or a command of the lab can't be used; the message is one plain line."""
+    """A file or a command of the lab is invalid; the message is one line."""
 
 
 class EngineSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One kind of engine. Times in seconds, lengths in tokens; speeds are those of a warm engine."""
+    """One kind of engine; times are in seconds, lengths in tokens, speeds are those of a warm engine."""
 
     kind: Name = "gpu"
     count: Count = 1
-    zone: str = ""  # "": dealt out over the zones in turn
-    batch: Count = 64  # requests that run at once
-    queue: Annotated[int, msgspec.Meta(ge=0)] = 64  # requests that wait; one more is turned away
-    memory_tokens: Count = 200_000  # of what runs and what is kept, together
-    step_s: Positive = 0.012  # one token for each running request
-    crowd: NotNegative = 0.5  # a full batch makes a step longer by this share
+    zone: str = ""  # empty: the zones in turn
+    batch: Count = 64  # maximum number of running requests
+    queue: Annotated[int, msgspec.Meta(ge=0)] = 64  # maximum number of waiting requests; more are rejected
+    memory_tokens: Count = 200_000  # for running requests and cached prefixes together
+    step_s: Positive = 0.012  # time to generate one token for each running request
+    crowd: NotNegative = 0.5  # share by which a full batch lengthens a step
     prompt_tokens_per_s: Positive = 20_000.0
-    chunk_tokens: Count = 4096  # of prompts, read within one step
-    cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.12  # of its speed, right after its start
-    warm_up_s: NotNegative = 0.0  # until it has all of it; 0: it starts warm
-    fall_multiple: Positive = 2.5  # offered more than this of its present speed ...
-    fall_window_s: Positive = 3.0  # ... over this time, a cold engine falls over
-    slow: Positive = 1.0  # times slower than it should be
-    fail_share: Share = 0.0  # of the requests, answered with an error at once
-    drop_cancelled: bool = True  # a waiting request whose client has gone is dropped
-    report_every_s: NotNegative = 0.2  # a load report is as old as this at most
+    chunk_tokens: Count = 4096  # of prompts read within one step
+    cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = (
+        0.12  # share of the warm speed right after the start
+    )
+    warm_up_s: NotNegative = 0.0  # time from the start to full speed; 0: the engine starts warm
+    fall_multiple: Positive = 2.5  # a cold engine falls over if offered this multiple of its speed ...
+    fall_window_s: Positive = 3.0  # ... over this time
+    slow: Positive = 1.0  # factor by which the engine is slower than these settings say
+    fail_share: Share = 0.0  # share of the requests that are answered with an error at once
+    drop_cancelled: bool = True  # drop a waiting request when its client has gone
+    report_every_s: NotNegative = 0.2  # maximum age of a load report
     connections: Count = 512
     tokens_per_event: Count = 4
-    output_tokens: Count = 60  # of an answer whose request does not say
+    output_tokens: Count = 60  # of an answer, unless the request asks for fewer
 
 
 class ClassSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A request class of a fleet's TOML."""
+    """A request class of a fleet."""
 
     name: Name
     aim_s: Positive
@@ -57,7 +59,7 @@
 
 
 class TenantSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A tenant of a fleet's TOML."""
+    """A tenant of a fleet."""
 
     name: Name
     share: Share
@@ -65,14 +67,14 @@
 
 
 class DiscoverySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The discovery of a fleet's TOML."""
+    """The discovery service of a fleet."""
 
-    late_s: NotNegative = 0.0  # what changes is told so much later
-    keep_alive_s: Positive = 2.0  # an empty line on a quiet watch
+    late_s: NotNegative = 0.0  # delay until a change becomes visible
+    keep_alive_s: Positive = 2.0  # time between empty lines on a watch without changes
 
 
 class RouterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What the routers in front of the fleet are told."""
+    """Settings of the routers in front of the fleet."""
 
     max_attempts: Count = 6
     max_retry_after_s: NotNegative = 2.0
@@ -81,7 +83,7 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole fleet's TOML."""
+    """The settings of a fleet: the whole content of its TOML file."""
 
     name: Name
     zones: Annotated[list[Name], msgspec.Meta(min_length=1)]
@@ -102,16 +104,16 @@
             ("tenants", [t.name for t in self.tenants]),
         ):
             if len(set(names)) != len(names):
-                raise ValueError(f"{what}: a name is given twice")
+                raise ValueError(f"{what}: duplicate name")
 
 
 def load(path: Path) -> FleetSettings:
-    """The checked settings; LabError says in a line what is wrong, and where."""
+    """Read and check a fleet's file; raise LabError with the fault and its place."""
     return load_as(path, FleetSettings)
 
 
 def load_as(path: Path, kind: type[S]) -> S:
-    """A checked TOML file, as a struct of this kind; LabError as with `load`."""
+    """Read and check a TOML file as a struct of this type; raise LabError as `load` does."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=kind)
     except OSError as error:
@@ -121,7 +123,7 @@
 
 
 def router_settings(fleet: FleetSettings, index: int, count: int, zone: str) -> dict[str, Any]:
-    """The platform's settings object for one router of this fleet."""
+    """Return the settings in the platform's format for one router of this fleet."""
     engine = fleet.engines[0]
     limits = fleet.routers
     return {
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's models to their edges, its files, and the commands as a newcomer starts them."""
+"""The lab's models at their limits, its settings files, and its commands run as processes."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from sorreldock.wire import decode_settings
 
 ROOT = Path(__file__).parent.parent
-FILES = sorted((ROOT / "deploy" / "lab").glob("*.toml"))
-PLAIN = EngineSettings(
+SHIPPED_FILES = sorted((ROOT / "deploy" / "lab").glob("*.toml"))
+BASIC_ENGINE = EngineSettings(
     batch=2, queue=1, step_s=0.01, crowd=0.0, prompt_tokens_per_s=1000.0, chunk_tokens=100, memory_tokens=1000
 )
 
@@ -32,25 +32,26 @@
     return Job(name, prompt, output, shared_prefix, shared_prefix_tokens)
 
 
-def run(engine: Engine, until: float = 1e9) -> dict[str, list[float]]:
-    """When each request got its tokens."""
-    got: dict[str, list[float]] = {}
+def run_engine(engine: Engine, until: float = 1e9) -> dict[str, list[float]]:
+    """Run an engine, and return the times of each request's tokens."""
+    token_times: dict[str, list[float]] = {}
     while (at := engine.next_at()) is not None and at <= until:
         for output in engine.advance(at):
-            got.setdefault(output.name, []).append(round(output.at, 6))
-    return got
+            token_times.setdefault(output.name, []).append(round(output.at, 6))
+    return token_times
 
 
-def test_a_prompt_is_read_in_chunks_and_then_each_step_gives_a_token() -> None:
-    engine = Engine(PLAIN)
+def test_a_prompt_is_read_in_chunks_and_then_each_step_generates_a_token() -> None:
+    engine = Engine(BASIC_ENGINE)
     assert engine.offer(0.0, job("a", prompt=150)) is Verdict.ACCEPTED
-    assert run(engine) == {"a": [0.17, 0.18, 0.19]}  # 0.1 + 0.01, then 0.05 + 0.01: the first token
+    assert run_engine(engine) == {"a": [0.17, 0.18, 0.19]}  # 0.1 + 0.01, then 0.05 + 0.01: the first token
 
 
-def test_batch_queue_and_memory_are_bounds() -> None:
-    engine = Engine(PLAIN)
-    said = [engine.offer(0.0, job(name)) for name in "abcd"]
-    assert said == [Verdict.ACCEPTED] * 3 + [Verdict.ACCEPTED]  # one runs, the others wait for the next step
+def test_batch_queue_and_memory_limit_what_an_engine_accepts_and_runs() -> None:
+    engine = Engine(BASIC_ENGINE)
+    verdicts = [engine.offer(0.0, job(name)) for name in "abcd"]
+    # One runs, the others wait for the next step.
+    assert verdicts == [Verdict.ACCEPTED] * 3 + [Verdict.ACCEPTED]
     assert engine.offer(0.0, job("a")) is Verdict.DUPLICATE
     engine.advance(0.11)
     assert len(engine.running) == 2 and engine.offer(0.12, job("e")) is Verdict.FULL
@@ -58,35 +59,37 @@
     assert engine.cancel(0.12, "d") and not engine.cancel(0.12, "a")
     engine.drain()
     assert engine.offer(0.13, job("g")) is Verdict.DRAINING
-    assert set(run(engine)) == {"a", "b", "c"} and not engine.running and engine.next_at() is None
-    small = Engine(PLAIN)
+    assert set(run_engine(engine)) == {"a", "b", "c"} and not engine.running and engine.next_at() is None
+    small_engine = Engine(BASIC_ENGINE)
     for name in "ab":
-        small.offer(0.0, job(name, prompt=590, output=10))
-    small.advance(0.2)
-    assert list(small.running) == ["a"]  # both together need more memory than there is
+        small_engine.offer(0.0, job(name, prompt=590, output=10))
+    small_engine.advance(0.2)
+    assert list(small_engine.running) == ["a"]  # both together need more memory than the engine has
 
 
-def test_openings_are_kept_and_the_oldest_gives_way() -> None:
-    engine = Engine(PLAIN)
-    first = []
+def test_shared_prefixes_are_cached_and_the_oldest_is_evicted() -> None:
+    engine = Engine(BASIC_ENGINE)
+    first_token_s = []
     for name, shared_prefix in (("a", "x"), ("b", "x"), ("c", "y"), ("d", "z"), ("e", "x")):
-        now = float(len(first))
+        now = float(len(first_token_s))
         engine.offer(
             now, job(name, prompt=100, output=1, shared_prefix=shared_prefix, shared_prefix_tokens=80)
         )
-        first.append(round(run(engine)[name][0] - now, 6))
-    assert first == [0.11, 0.03, 0.11, 0.11, 0.03]
-    tight = Engine(EngineSettings(memory_tokens=200, step_s=0.01, prompt_tokens_per_s=1000.0, crowd=0.0))
+        first_token_s.append(round(run_engine(engine)[name][0] - now, 6))
+    assert first_token_s == [0.11, 0.03, 0.11, 0.11, 0.03]
+    tight_engine = Engine(
+        EngineSettings(memory_tokens=200, step_s=0.01, prompt_tokens_per_s=1000.0, crowd=0.0)
+    )
     for now, shared_prefix in enumerate("xyzx"):
-        tight.offer(
+        tight_engine.offer(
             float(now),
             job(f"{now}", prompt=100, output=1, shared_prefix=shared_prefix, shared_prefix_tokens=90),
         )
-        kept = [o.cached_tokens for o in tight.advance(now + 0.9)]
-    assert kept == [0]
+        cached_tokens = [o.cached_tokens for o in tight_engine.advance(now + 0.9)]
+    assert cached_tokens == [0]
 
 
-def test_a_cold_engine_is_slow_warms_up_and_falls_over_when_it_is_pushed() -> None:
+def test_a_cold_engine_is_slow_warms_up_and_falls_over_when_overloaded() -> None:
     cold = EngineSettings(
         step_s=0.01,
         crowd=0.0,
@@ -112,19 +115,19 @@
     assert [warm.offer(0.0, job(str(n), prompt=500)) for n in range(4)] == [Verdict.ACCEPTED] * 4
 
 
-def test_failures_are_the_same_for_the_same_names_and_reports_lag() -> None:
+def test_errors_depend_on_the_request_name_and_load_reports_lag() -> None:
     engine = Engine(EngineSettings(fail_share=0.5, report_every_s=0.2))
-    said = [engine.offer(0.0, job(str(n))) for n in range(40)]
-    again = Engine(EngineSettings(fail_share=0.5))
-    assert said == [again.offer(0.0, job(str(n))) for n in range(40)]
-    errors = said.count(Verdict.ERROR)
+    verdicts = [engine.offer(0.0, job(str(n))) for n in range(40)]
+    other = Engine(EngineSettings(fail_share=0.5))
+    assert verdicts == [other.offer(0.0, job(str(n))) for n in range(40)]
+    errors = verdicts.count(Verdict.ERROR)
     assert 10 < errors < 30
     assert engine.report(0.0).eps == errors
     engine.offer(0.1, job("late"))
     assert engine.report(0.1).inflight == 40 - errors
 
 
-def test_discovery_tells_late_in_order_and_from_where_a_watch_left_off() -> None:
+def test_changes_become_visible_late_in_order_and_since_a_given_version() -> None:
     directory = Directory(delay_s=1.0)
     directory.publish(0.0, Entry("a", "h:1", "z"))
     directory.publish(0.5, Entry("b", "h:2", "z"))
@@ -143,7 +146,7 @@
         directory.publish(3.0, Entry("c", "h:3", "z", state="Lost"))
 
 
-def test_the_ledger_counts_what_overlaps() -> None:
+def test_the_ledger_counts_overlapping_attempts() -> None:
     ledger = Ledger()
     for key in ("a", "b", "a"):
         ledger.begin(key)
@@ -153,45 +156,47 @@
     assert (ledger.attempts, ledger.overlaps, ledger.max_open) == (4, 1, 2)
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_the_files_that_we_ship_are_read_and_make_a_routers_settings(path: Path) -> None:
+@pytest.mark.parametrize("path", SHIPPED_FILES, ids=lambda path: path.stem)
+def test_the_shipped_files_are_valid_and_yield_router_settings(path: Path) -> None:
     fleet = load(path)
     settings = decode_settings(router_settings(fleet, 0, 2, fleet.zones[0]))
     assert [c.name for c in settings.classes] == [c.name for c in fleet.classes]
 
 
-LEAST = (
+MINIMAL_FLEET = (
     'name = "x"\nzones = ["z"]\nengines = [{kind = "g"}]\n'
     'classes = [{name = "c", aim_s = 1, deadline_s = 2}]\n'
 )
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, message",
     [
         ('name = "x"\n', "", "missing required field `name`"),
         ("zones", "colour = 1\nzones", "unknown field `colour`"),
         ('"x"', "3", "Expected `str`"),
         ('["z"]', "[]", "length >= 1"),
-        ('["z"]', '["z", "z"]', "zones: a name is given twice"),
+        ('["z"]', '["z", "z"]', "zones: duplicate name"),
         ('"g"', '"g", zone = "y"', "zone y is not among the zones"),
         ('"g"', '"g", step_s = 0', "float` > 0"),
         ('"g"', '"g', "line 3"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_plain_line(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_the_error_of_an_invalid_file_is_one_line(tmp_path: Path, old: str, new: str, message: str) -> None:
     path = tmp_path / "f.toml"
-    path.write_text(LEAST)
+    path.write_text(MINIMAL_FLEET)
     load(path)
-    path.write_text(LEAST.replace(old, new, 1))
+    path.write_text(MINIMAL_FLEET.replace(old, new, 1))
     with pytest.raises(LabError) as error:
         load(path)
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_command_with_a_bad_file_ends_with_status_2(tmp_path: Path) -> None:
-    done = command("lab", "check", str(tmp_path / "none.toml"))
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1) and done.stderr.startswith("sorreldock: ")
+def test_a_command_with_a_missing_file_exits_with_status_2(tmp_path: Path) -> None:
+    result = command("lab", "check", str(tmp_path / "none.toml"))
+    assert (result.returncode, result.stderr.count("\n")) == (2, 1) and result.stderr.startswith(
+        "sorreldock: "
+    )
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
@@ -201,15 +206,20 @@
 
 
 @beside_host
-def test_ask_says_by_its_exit_status_how_it_went() -> None:
+def test_the_exit_status_of_ask_tells_the_outcome() -> None:
     def ask(*words: str) -> tuple[int, list[dict[str, object]]]:
-        done = command("ask", "--json", "--timeout", "2", "--retries", "0", *words, "a flooded street")
-        return done.returncode, [json.loads(line) for line in done.stdout.splitlines()]
+        result = command("ask", "--json", "--timeout", "2", "--retries", "0", *words, "a flooded street")
+        return result.returncode, [json.loads(line) for line in result.stdout.splitlines()]
 
     event = b'data: {"choices":[{"delta":{"content":"a street"}}]}\n\n'
-    good = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(event), event)
-    cut = good[: good.index(b"0\r\n\r\n")].replace(b"transfer-encoding: chunked", b"content-length: 999")
-    with hosted(Stub(answers(good)).on()) as stub:
+    answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (
+        len(event),
+        event,
+    )
+    cut_answer = answer[: answer.index(b"0\r\n\r\n")].replace(
+        b"transfer-encoding: chunked", b"content-length: 999"
+    )
+    with hosted(Stub(answers(answer)).on()) as stub:
         status, records = ask("--router", stub.address)
         assert status == 0 and records[0]["text"] == "a street"
         assert (records[1]["outcome"], records[1]["attempts"]) == ("answered", 1)
@@ -219,19 +229,19 @@
     with hosted(Stub(answers(refusal("", 500))).on()) as stub:
         assert ask("--router", stub.address)[0] == 4
 
-    async def breaks(stub: Stub, stream: object) -> None:
+    async def cut_off(stub: Stub, stream: object) -> None:
         await stub.request(stream)
-        await stream.send_all(cut)  # type: ignore[attr-defined]
+        await stream.send_all(cut_answer)  # type: ignore[attr-defined]
 
-    with hosted(Stub(breaks).on()) as stub:
+    with hosted(Stub(cut_off).on()) as stub:
         assert ask("--router", stub.address)[0] == 5
     assert ask("--router", "nowhere")[0] == 2
-    with socket.create_server(("127.0.0.1", 0)) as silent:
-        port = silent.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port = listener.getsockname()[1]
         assert ask("--router", f"127.0.0.1:{port}", "--timeout", "0.3")[0] == 6
 
 
-def test_the_demo_is_ready_soon_answers_and_leaves_no_process_behind() -> None:
+def test_the_demo_starts_soon_answers_requests_and_leaves_no_process_behind() -> None:
     demo = subprocess.Popen(
         [sys.executable, "-m", "sorreldock", "demo"],
         cwd=ROOT,
@@ -251,8 +261,8 @@
     assert len(pids) == 3  # the fleet and two routers
     for line in lines:
         if line.startswith("  ") and "ask" in line:
-            done = subprocess.run(line, shell=True, cwd=ROOT, capture_output=True, text=True, timeout=30)
-            assert done.returncode == 0 and len(done.stdout) > 100, done.stderr
+            result = subprocess.run(line, shell=True, cwd=ROOT, capture_output=True, text=True, timeout=30)
+            assert result.returncode == 0 and len(result.stdout) > 100, result.stderr
     demo.send_signal(signal.SIGINT)
     assert demo.wait(30) == 0
     for pid in pids:
