--- a/sorreldock/lab/soak/clients.py
+++ b/sorreldock/lab/soak/clients.py
@@ -19,10 +19,10 @@
 class ClientBehaviour(Enum):
     """How a client uses its connection and sends its request."""
 
-    ONE_SHOT = "plain"  # one connection per request
-    KEEP_ALIVE = "keeps"  # one connection for all requests
-    ABANDONS = "leaves"  # closes the connection before the answer
-    SLOW_WRITER = "slow"  # writes the request in pieces, with pauses
+    ONE_SHOT = "one_shot"  # one connection per request
+    KEEP_ALIVE = "keep_alive"  # one connection for all requests
+    ABANDONS = "abandons"  # closes the connection before the answer
+    SLOW_WRITER = "slow_writer"  # writes the request in pieces, with pauses
 
 
 @dataclass(frozen=True, slots=True)
--- a/sorreldock/lab/soak/servers.py
+++ b/sorreldock/lab/soak/servers.py
@@ -29,9 +29,9 @@
 
     NONE = "none"
     ERROR = "error"  # status 500
-    REJECTED = "turned_away"  # status 503 with X-Never-Ran
+    REJECTED = "rejected"  # status 503 with X-Never-Ran
     RESET = "reset"  # the connection is closed before the answer
-    CUT_OFF = "break"  # the connection is closed after the first event
+    CUT_OFF = "cut_off"  # the connection is closed after the first event
     HANG = "hang"  # no answer, while the connection stays open
 
 
