--- a/sorreldock/lab/soak/runner.py
+++ b/sorreldock/lab/soak/runner.py
@@ -25,7 +25,7 @@
 SUSPENSION_S = 0.15
 LAG_INTERVAL_S = 0.01
 # Texts of log records that report a broken rule or a fault in the router.
-FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client", "Traceback")
+FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client", "Traceback")
 ZONES = ["north", "south", "west", "east"]
 
 
--- a/tests/test_attempt_limits.py
+++ b/tests/test_attempt_limits.py
@@ -1,4 +1,4 @@
-"""Limits on when an attempt may be written to a server, and on which connection."""
+"""Limits on when and on which connection an attempt may be written to a server."""
 
 from __future__ import annotations
 
@@ -13,91 +13,96 @@
 from sorreldock.interface import Status
 from sorreldock.program import serve as program_serve
 from sorreldock.protocol.http.client import HttpServerClient
-from sorreldock.routing.permissions import HELD_UP_S, time_to_finish_writing
+from sorreldock.routing.permissions import SCHEDULING_DELAY_S, time_to_finish_writing
 from sorreldock.routing.subchannel import Attempt
 from sorreldock.transport.budget import DescriptorBudget
 from sorreldock.transport.connection import Connection
 
 
 @trio_test
-async def test_a_second_answer_that_comes_late_is_not_the_next_requests() -> None:
-    spoil, engine = trio.Event(), ScriptedServer()
-
-    async def twice(call: ReceivedRequest) -> None:
-        await answer_in_full(call)
-        await spoil.wait()
-        await call.wire.stream.send_all(
+async def test_a_late_duplicate_answer_is_not_taken_for_the_next_answer() -> None:
+    """A faulty server repeats its answer after the connection has become idle."""
+    send_duplicate, server = trio.Event(), ScriptedServer()
+
+    async def answer_twice(request: ReceivedRequest) -> None:
+        await answer_in_full(request)
+        await send_duplicate.wait()
+        await request.wire.stream.send_all(
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\ndata: stolen..\n\n\r\n0\r\n\r\n"
         )
 
-    engine.scripts.append(twice)
-    async with running_router(engine) as router:
+    server.scripts.append(answer_twice)
+    async with running_router(server) as router:
         assert (await router.post(x_trace_id="t0")).whole
-        got = await router.post(x_trace_id="t1")  # at once: the first connection has not rested
-        assert got.body == b"".join(EVENTS) and engine.connections == 2
-        spoil.set()
+        answer = await router.post(
+            x_trace_id="t1"
+        )  # at once: the first connection has not been idle long enough
+        assert answer.body == b"".join(EVENTS) and server.connections == 2
+        send_duplicate.set()
         for n in range(2, 6):
             assert (await router.post(x_trace_id=f"t{n}")).body == b"".join(EVENTS)
 
 
 def test_writing_stops_within_the_drain_grace_of_the_settings() -> None:
-    for grace_s in (0.1, 0.25, 5.0):  # though the program be held up behind its clock
-        assert time_to_finish_writing(grace_s) + HELD_UP_S <= max(min(grace_s, 0.25), HELD_UP_S)
+    for grace_s in (0.1, 0.25, 5.0):  # even if the process is delayed after reading its clock
+        assert time_to_finish_writing(grace_s) + SCHEDULING_DELAY_S <= max(
+            min(grace_s, 0.25), SCHEDULING_DELAY_S
+        )
     assert time_to_finish_writing(0.25) == time_to_finish_writing(5.0) == pytest.approx(0.08)
 
 
 @trio_test
-async def test_an_attempt_is_not_written_after_its_time() -> None:
+async def test_an_attempt_is_not_written_after_its_latest_write_time() -> None:
     subchannel: Any = SimpleNamespace(ready=True)
     now = trio.current_time()
-    for send_by, may in ((now - 0.001, False), (now + 60.0, True)):
+    for send_by, allowed in ((now - 0.001, False), (now + 60.0, True)):
         attempt = Attempt(None, 0, subchannel, 1.0, print, lambda rpc: True, send_by)  # type: ignore[arg-type]
-        assert attempt.may_send() is may
+        assert attempt.may_send() is allowed
 
 
 @trio_test
-async def test_no_repeat_of_a_keyed_request_is_written_after_its_window(
+async def test_a_keyed_request_is_not_repeated_after_its_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The module decides within the window, and the dial outlasts it."""
+    """The repeat is decided within the window, but connecting takes until after its end."""
     window_s = 0.3
     categories = [{**c, "effect": "keyed", "window_s": window_s} for c in SETTINGS["categories"]]
-    dialled: list[float] = []
-    dial = program_serve.dialler
+    dialled_at: list[float] = []
+    make_dialler = program_serve.dialler
 
     def slow_dialler(system: Any) -> Any:
-        real = dial(system)
+        dial = make_dialler(system)
 
         async def slow(address: str, timeout_s: float, on_close: Any) -> Connection:
-            connection: Connection = await real(address, timeout_s, on_close)
+            connection: Connection = await dial(address, timeout_s, on_close)
             if address != discovery_address:
-                dialled.append(trio.current_time())
-                if len(dialled) == 2:  # the second attempt's: up only after the window
-                    await trio.sleep_until(dialled[0] + 2 * window_s)
+                dialled_at.append(trio.current_time())
+                if len(dialled_at) == 2:  # for the second attempt: connected only after the window
+                    await trio.sleep_until(dialled_at[0] + 2 * window_s)
             return connection
 
         return slow
 
     monkeypatch.setattr(program_serve, "dialler", slow_dialler)
 
-    async def fail(call: ReceivedRequest) -> None:
-        await call.answer(500)
+    async def fail(request: ReceivedRequest) -> None:
+        await request.answer(500)
 
     first, second = ScriptedServer(fail), ScriptedServer(fail)
     discovery_address = ""
     async with running_router(first, second, categories=categories) as router:
         discovery_address = router.program.config.discovery
-        dialled.clear()
-        got = await router.post()
-    assert got.status in (502, 503, 504) and len(dialled) == 2
+        dialled_at.clear()
+        answer = await router.post()
+    assert answer.status in (502, 503, 504) and len(dialled_at) == 2
     assert len(first.received_requests) + len(second.received_requests) == 1
 
 
 @trio_test
-async def test_a_refused_connection_tells_that_no_process_listens() -> None:
+async def test_a_refused_connection_is_reported_as_no_listener() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
-        address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, and nobody listens
+        address = f"127.0.0.1:{free.getsockname()[1]}"  # bound, but not listening
         closed = HttpServerClient(address, DescriptorBudget(364), 1.0, 60.0, "/alive")
         assert (await closed.probe()).status is Status.NO_LISTENER
         attempt: Any = SimpleNamespace()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decision actor when it has much to do: what is owed at once does not wait behind requests."""
+"""The decision actor under load: other events do not wait for the decisions on new requests."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     TimerFired,
 )
 from sorreldock.routing import core as routing_core
-from sorreldock.routing.mailbox import ENTRIES_AT_ONCE, DecisionMailbox
-from sorreldock.routing.pace import LONGEST_WAIT_S, DecisionPace, waits_too_long
+from sorreldock.routing.mailbox import MAX_LIST_ENTRIES, DecisionMailbox
+from sorreldock.routing.pace import MAX_WAIT_S, DecisionStats, waits_too_long
 from sorreldock.routing.types import AttemptResult
 
 DECISION_S = 0.02
@@ -45,135 +45,135 @@
 
 
 def slow_decisions(core: Any) -> list[Event]:
-    """Let each request take a while to decide on; what the module is told is noted."""
-    told: list[Event] = []
+    """Make each decision on a new request take a while; return the list of events the module receives."""
+    received: list[Event] = []
     handle = core._gateway.handle
 
     def slowly(now: float, events: Sequence[Event]) -> Any:
-        told.extend(events)
+        received.extend(events)
         time.sleep(DECISION_S * sum(isinstance(event, RequestArrived) for event in events))
         return handle(now, events)
 
     core._gateway.handle = slowly
-    return told
+    return received
 
 
 async def burst(router: Router, count: int, time_left: bytes) -> list[HttpConnection]:
-    """Send so many requests at one moment: all are there before the first of them is decided on."""
-    wires = [await router.connect() for _ in range(count)]
+    """Send `count` requests at once, so that all arrive before the first one is decided on."""
+    connections = [await router.connect() for _ in range(count)]
     await trio.testing.wait_all_tasks_blocked(0.01)  # accepted
-    for number, wire in enumerate(wires):
-        sent = raw(x_trace_id=b"t%d" % number, x_expires_in=time_left)
-        assert os.write(wire.stream.socket.fileno(), sent) == len(sent)  # type: ignore[attr-defined]
-    return wires
+    for number, connection in enumerate(connections):
+        data = raw(x_trace_id=b"t%d" % number, x_expires_in=time_left)
+        assert os.write(connection.stream.socket.fileno(), data) == len(data)  # type: ignore[attr-defined]
+    return connections
 
 
 @trio_test
-async def test_requests_beyond_what_can_be_decided_are_refused_at_once_and_all_are_answered_in_time() -> None:
-    engine = ScriptedServer()
-    took: list[float] = []
+async def test_requests_that_wait_too_long_for_a_decision_are_refused_and_all_are_answered_in_time() -> None:
+    server = ScriptedServer()
+    durations_s: list[float] = []
     statuses: list[int] = []
-    async with running_router(engine) as router:
-        told = slow_decisions(router.program.core)
+    async with running_router(server) as router:
+        received = slow_decisions(router.program.core)
 
-        wires = await burst(router, 60, b"1000m")
+        connections = await burst(router, 60, b"1000m")
         began = trio.current_time()
 
-        async def hear(wire: Any) -> None:
-            statuses.append((await wire.next()).status_code)
-            took.append(trio.current_time() - began)
-            await wire.stream.aclose()
+        async def read_answer(connection: Any) -> None:
+            statuses.append((await connection.next()).status_code)
+            durations_s.append(trio.current_time() - began)
+            await connection.stream.aclose()
 
         async with trio.open_nursery() as nursery:
-            for wire in wires:
-                nursery.start_soon(hear, wire)
-    assert len(took) == 60 and set(statuses) == {200, 503}
-    assert max(took) < 1.0  # all of them decided on would take 1.2 s
-    assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in told)
+            for connection in connections:
+                nursery.start_soon(read_answer, connection)
+    assert len(durations_s) == 60 and set(statuses) == {200, 503}
+    assert max(durations_s) < 1.0  # deciding on all of them would take 1.2 s
+    assert statuses.count(503) == 60 - sum(isinstance(event, RequestArrived) for event in received)
 
 
 @trio_test
-async def test_a_drain_notice_and_a_client_that_leaves_are_heard_between_slow_decisions(
+async def test_drain_notices_and_disconnects_are_processed_between_slow_decisions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, time_s: False)
+    monkeypatch.setattr(routing_core, "waits_too_long", lambda waited_s, budget_s: False)
     first, second = ScriptedServer(), ScriptedServer()
     discovery = Discovery(first, second)
     async with running_router(first, second, discovery=discovery) as router:
         await discovery.watching.wait()
         core = router.program.core
-        told = slow_decisions(core)
-        wires = await burst(router, 30, b"5000m")
+        received = slow_decisions(core)
+        connections = await burst(router, 30, b"5000m")
         while len(core.open_rpcs) < 30:
             await trio.sleep(0.001)
         discovery.push_states(e0="Terminating")
         last = core._mailbox._requests[-1].request
-        await wires.pop(int(last[1:].partition(".")[0])).stream.aclose()
-        for wire in wires:
-            assert (await wire.next()).status_code == 200
-            await wire.stream.aclose()
-    requests = [n for n, event in enumerate(told) if isinstance(event, RequestArrived)]
-    change = next(n for n, event in enumerate(told) if isinstance(event, ReplicaList))
+        await connections.pop(int(last[1:].partition(".")[0])).stream.aclose()
+        for connection in connections:
+            assert (await connection.next()).status_code == 200
+            await connection.stream.aclose()
+    requests = [n for n, event in enumerate(received) if isinstance(event, RequestArrived)]
+    change = next(n for n, event in enumerate(received) if isinstance(event, ReplicaList))
     assert change < requests[-5]
-    assert last not in {event.request for event in told if isinstance(event, RequestArrived)}
+    assert last not in {event.request for event in received if isinstance(event, RequestArrived)}
 
 
 @trio_test
-async def test_an_attempt_decided_in_the_batch_in_which_its_client_left_counts_as_ended() -> None:
+async def test_an_attempt_decided_in_the_same_batch_as_its_clients_disconnect_is_reported_as_ended() -> None:
     release = trio.Event()
 
-    async def fail(call: ReceivedRequest) -> None:
+    async def fail(request: ReceivedRequest) -> None:
         await release.wait()
-        await call.answer(500)
+        await request.answer(500)
 
     first, second = ScriptedServer(fail), ScriptedServer(fail)
     async with running_router(first, second) as router:
         core = router.program.core
-        wire = await router.start_post()
+        connection = await router.start_post()
         while not any(subchannel.in_flight for subchannel in core.subchannels.values()):
             await trio.sleep(0.001)
         [subchannel] = [s for s in core.subchannels.values() if s.in_flight]
-        ended = subchannel._on_ended
+        on_ended = subchannel._on_ended
 
-        def ended_and_left(attempt: Any, report: AttemptResult, latency_s: float) -> None:
-            ended(attempt, report, latency_s)
+        def end_and_disconnect(attempt: Any, result: AttemptResult, latency_s: float) -> None:
+            on_ended(attempt, result, latency_s)
             core.client_gone(attempt.rpc)
 
-        subchannel._on_ended = ended_and_left
+        subchannel._on_ended = end_and_disconnect
         release.set()
         while core.open_rpcs:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked(0.01)
         assert core._gateway.all_zones.open_attempts == 0 and not core._gateway.requests
-        await wire.stream.aclose()
+        await connection.stream.aclose()
     assert len(first.received_requests) + len(second.received_requests) == 1
 
 
-def test_the_mailbox_puts_requests_behind_what_is_owed_and_cuts_long_lists() -> None:
+def test_the_mailbox_delivers_requests_after_other_events_and_splits_long_lists() -> None:
     mailbox = DecisionMailbox()
-    entries = tuple(ReplicaEntry(number, "a") for number in range(ENTRIES_AT_ONCE + 1))
+    entries = tuple(ReplicaEntry(number, "a") for number in range(MAX_LIST_ENTRIES + 1))
     ended = AttemptEnded("r0", 0, 1, Status.OK, 0.1, True, 0, ())
     for event in (arrived("r1"), ended, ReplicaList(ListKind.FULL, entries, 3), ClientGone("r2")):
         mailbox.post(event)
     first = mailbox.take(16)
     assert first[0] is ended and isinstance(first[1], ReplicaList) and len(first) == 2
-    assert (first[1].kind, len(first[1].entries)) == (ListKind.FULL, ENTRIES_AT_ONCE)
+    assert (first[1].kind, len(first[1].entries)) == (ListKind.FULL, MAX_LIST_ENTRIES)
     [rest] = mailbox.take(16)
     assert isinstance(rest, ReplicaList) and (rest.kind, len(rest.entries)) == (ListKind.DELTA, 1)
     assert [type(event) for event in mailbox.take(16)] == [ClientGone]
     assert mailbox.take(16) == [arrived("r1")] and not mailbox.take(16)
 
 
-def test_a_request_waits_for_a_share_of_its_time_at_the_most() -> None:
+def test_the_wait_for_a_decision_is_limited_to_a_share_of_the_time_budget() -> None:
     assert not waits_too_long(0.09, 0.5) and waits_too_long(0.11, 0.5)
-    assert waits_too_long(LONGEST_WAIT_S + 0.01, 60.0)
+    assert waits_too_long(MAX_WAIT_S + 0.01, 60.0)
 
 
-def test_long_decisions_are_told_once_a_second() -> None:
-    pace = DecisionPace(0.0)
-    pace.decided([TimerFired("late:r1:0")], 0.02)
-    pace.decided([arrived("r1")], 0.001)
-    assert pace.summary(0.5) is None
-    summary = pace.summary(1.0)
+def test_long_decisions_are_summed_up_once_a_second() -> None:
+    stats = DecisionStats(0.0)
+    stats.record_batch([TimerFired("late:r1:0")], 0.02)
+    stats.record_batch([arrived("r1")], 0.001)
+    assert stats.summary(0.5) is None
+    summary = stats.summary(1.0)
     assert summary is not None and (summary["batches"], summary["long"]) == (2, 1)
-    assert summary["longest_with"] == "TimerFired" and pace.summary(2.5) is None
+    assert summary["longest_with"] == "TimerFired" and stats.summary(2.5) is None
