--- a/sorreldock/lab/simulation/explore.py
+++ b/sorreldock/lab/simulation/explore.py
@@ -15,7 +15,7 @@
 from multiprocessing.connection import Connection, wait
 from typing import Any
 
-from .runner import play
+from .runner import run_scenario
 from .scenario import Scenario, draw
 
 SHARE = 8  # seeds that a worker gets at once
@@ -77,9 +77,9 @@
 
 def explore_here(scenario: Scenario) -> Explored:
     """Play one, in this process. What broke is told with the last events on the wires concerned."""
-    result = play(scenario)
+    result = run_scenario(scenario)
     if result.violations:  # once more, with its trace: it comes to the same
-        result = play(scenario, keep_trace=True)
+        result = run_scenario(scenario, keep_trace=True)
     violations = [
         {"seed": scenario.seed, "rule": v.rule, "at_s": v.at_s, "text": v.text, "last": result.last(v)}
         for v in result.violations
--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -14,7 +14,7 @@
 from .scenario import RequestPlan
 
 if TYPE_CHECKING:
-    from .runner import World
+    from .runner import Simulation
 
 
 class VirtualClientSocket(Socket):
@@ -61,8 +61,8 @@
 class Library:
     """One client of all routers for each protocol, made when a request asks for it."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
         self._host: Host | None = None
         self._clients: dict[str, Client] = {}
         self._nursery: trio.Nursery | None = None
@@ -91,10 +91,10 @@
         if made is not None:
             return made
         if self._host is None:
-            self._host = self.world.network.host("c90", "127.0.4.91")
+            self._host = self.simulation.network.host("c90", "127.0.4.91")
         port = HTTP_PORT if protocol == "http" else GRPC_PORT
-        routers = [f"{router.host.address}:{port}" for router in self.world.routers]
-        seed = f"{self.world.scenario.seed} library {protocol}"
+        routers = [f"{router.host.address}:{port}" for router in self.simulation.routers]
+        seed = f"{self.simulation.scenario.seed} library {protocol}"
         made = self._clients[protocol] = Client(
             routers, ClientSettings(name="world"), protocol, rng=random.Random(seed), dial=self._dial
         )
@@ -122,7 +122,7 @@
                 async for _ in answer:
                     pass
         except ClientError as error:
-            self.world.record(f"library {type(error).__name__} {error.cause}")
+            self.simulation.record(f"library {type(error).__name__} {error.cause}")
 
     async def close(self) -> None:
         self._closing.set()
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -68,20 +68,20 @@
 class Router:
     """A router's process, its ends and its starts."""
 
-    def __init__(self, world: World, index: int) -> None:
-        self.world, self.index, self.name = world, index, f"r{index}"
-        self.host = world.network.host(self.name, f"127.0.1.{index + 1}")
+    def __init__(self, simulation: Simulation, index: int) -> None:
+        self.simulation, self.index, self.name = simulation, index, f"r{index}"
+        self.host = simulation.network.host(self.name, f"127.0.1.{index + 1}")
         self.system = VirtualSystem(self.host, 1000 + index)
         self.program: Program | None = None
         self.scope: trio.CancelScope | None = None
         self.ended = trio.Event()
-        self.discovery = world.discovery
+        self.discovery = simulation.discovery
 
     def config(self) -> Config:
-        world, scenario = self.world, self.world.scenario
+        simulation, scenario = self.simulation, self.simulation.scenario
         known = self.discovery.directory.whole(trio.current_time())
-        world.judge.list_given(self.name, known["targets"], True)
-        settings = decode_settings(world.settings(self.index))
+        simulation.judge.list_given(self.name, known["targets"], True)
+        settings = decode_settings(simulation.settings(self.index))
         kserve = Kserve(f"{self.host.address}:{GRPC_PORT}", ("desc",), "alt-text", "acme", 5.0)
         return Config(
             self.name,
@@ -98,14 +98,14 @@
     def read_again(self) -> Config:
         program = self.program
         assert program is not None
-        if self.world.broken_config:
+        if self.simulation.broken_config:
             raise ValueError("not readable")
         address = self.discovery.address
         return replace(program.config, discovery=address, discovery_in_file=address)
 
     async def run(self) -> None:
         """One life of the process."""
-        judge = self.world.judge
+        judge = self.simulation.judge
         judge.lives[self.name] = judge.lives.get(self.name, 0) + 1
         self.ended = trio.Event()
         self.program = Program(self.config(), self.read_again, self.system)
@@ -118,18 +118,18 @@
             judge.violation("fault", f"{self.name} failed: {faults_in(error)}", self.name)
         finally:
             self.host.close_all()
-            self.world.network.record(f"ended {self.name}")
+            self.simulation.network.record(f"ended {self.name}")
             self.ended.set()
 
     def life(self) -> tuple[str, int]:
-        return self.name, self.world.judge.lives.get(self.name, 0)
+        return self.name, self.simulation.judge.lives.get(self.name, 0)
 
     def stop(self) -> None:
-        self.world.judge.stop_requested.setdefault(self.life(), trio.current_time())
+        self.simulation.judge.stop_requested.setdefault(self.life(), trio.current_time())
         self.system.deliver(signal.SIGTERM)
 
     def kill(self) -> None:
-        self.world.judge.killed.setdefault(self.life(), trio.current_time())
+        self.simulation.judge.killed.setdefault(self.life(), trio.current_time())
         self.host.close_all()
         if self.scope is not None:
             self.scope.cancel()
@@ -147,7 +147,7 @@
     return f"{type(error).__name__}: {error}{where}"
 
 
-class World:
+class Simulation:
     """One run of a scenario: its hosts, peers and routers."""
 
     def __init__(self, scenario: Scenario, keep_trace: bool = False) -> None:
@@ -273,7 +273,7 @@
         self.record("end")
 
     async def _run(self) -> None:
-        from .script import play  # the faults know the world, and the world what they need of it
+        from .script import run_fault  # the faults know the world, and the world what they need of it
 
         scenario, nursery = self.scenario, self.nursery
         nursery.start_soon(self.discovery.serve, nursery)
@@ -287,7 +287,7 @@
             for k, plan in enumerate(scenario.requests):
                 acts.start_soon(self.ask, f"q{k}", plan)
             for fault in scenario.faults:
-                acts.start_soon(play, self, fault)
+                acts.start_soon(run_fault, self, fault)
         await self._rest()
         await self._stop()
 
@@ -353,34 +353,34 @@
                     self.judge.violation("leak", f"{router.name} counts {count} descriptors for {use.value}s")
 
 
-def play(
-    scenario: Scenario, keep_trace: bool = False, before: Callable[[World], None] | None = None
+def run_scenario(
+    scenario: Scenario, keep_trace: bool = False, before: Callable[[Simulation], None] | None = None
 ) -> Result:
     """Play it; the same scenario comes to the same result everywhere."""
-    world = World(scenario, keep_trace)
-    passes = Passes(lambda: world.judge.violation("rest", "the world stands still and does not rest"))
+    simulation = Simulation(scenario, keep_trace)
+    passes = Passes(lambda: simulation.judge.violation("rest", "the world stands still and does not rest"))
     if before is not None:
-        before(world)
+        before(simulation)
     ended_at = 0.0
 
     async def main() -> None:
         nonlocal ended_at
         with passes.scope:
-            await world.main()
+            await simulation.main()
         ended_at = trio.current_time()
 
-    clock = world_clock(world.network.next_at, world.network.advance)
+    clock = world_clock(simulation.network.next_at, simulation.network.advance)
     with seeded(scenario.seed), Guard(), suppress(KeyboardInterrupt):
         trio.run(main, clock=clock, instruments=[passes])
-    judge = world.judge
-    faults = dict(sorted(world.faults.items()))
+    judge = simulation.judge
+    faults = dict(sorted(simulation.faults.items()))
     return Result(
         scenario.seed,
-        world._hash.hexdigest(),
+        simulation._hash.hexdigest(),
         len(judge.rpcs),
         judge.count,
         round(ended_at, 6),
         judge.violations,
         faults,
-        world.trace,
+        simulation.trace,
     )
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from .engines import VirtualEngine
-    from .runner import Router, World
+    from .runner import Router, Simulation
 
 NOTICED_S = 0.8  # after which discovery tells that a machine has gone
 GONE_S = 2.0  # from the notice of an engine's end until its process has ended
@@ -23,26 +23,26 @@
 HELD_S = 1.5
 
 
-async def play(world: World, fault: FaultPlan) -> None:
+async def run_fault(simulation: Simulation, fault: FaultPlan) -> None:
     """Carry out one fault, from its beginning to its end."""
     await trio.sleep_until(fault.at_s)
-    world.faults[fault.kind] += 1
+    simulation.faults[fault.kind] += 1
     what = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
-    world.record(f"fault {what}")
+    simulation.record(f"fault {what}")
     if fault.kind in ENGINE_FAULTS:
-        await engine_fault(world, world.engines[fault.target], fault)
+        await engine_fault(simulation, simulation.engines[fault.target], fault)
     elif fault.kind.startswith("list-"):
-        await list_fault(world, fault)
+        await list_fault(simulation, fault)
     elif fault.kind in ("partition", "one-way"):
-        await partition(world, fault)
+        await partition(simulation, fault)
     elif fault.kind in ("deploy", "slowdown", "surge"):
-        await fleet_fault(world, fault)
+        await fleet_fault(simulation, fault)
     else:
-        await router_fault(world, fault)
-    world.record(f"fault over {what}")
+        await router_fault(simulation, fault)
+    simulation.record(f"fault over {what}")
 
 
-async def engine_fault(world: World, engine: VirtualEngine, fault: FaultPlan) -> None:
+async def engine_fault(simulation: Simulation, engine: VirtualEngine, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
             engine.slower(fault.amount)
@@ -71,12 +71,12 @@
             engine.close_port()
             await trio.sleep(fault.for_s)
             if not engine.over:
-                world.nursery.start_soon(engine.serve, world.nursery)
+                simulation.nursery.start_soon(engine.serve, simulation.nursery)
         case _:
-            await machine_fault(world, engine, fault)
+            await machine_fault(simulation, engine, fault)
 
 
-async def machine_fault(world: World, engine: VirtualEngine, fault: FaultPlan) -> None:
+async def machine_fault(simulation: Simulation, engine: VirtualEngine, fault: FaultPlan) -> None:
     """Faults after which another engine follows, and those of the machine's network."""
     host = engine.host
     match fault.kind:
@@ -87,25 +87,25 @@
         case "crash":
             engine.end()
             await trio.sleep(NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
+            simulation.discovery.state(engine.uid, "Gone")
             await trio.sleep(fault.for_s)
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
         case "vanish":
             host.vanish()
             await trio.sleep(fault.for_s + NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
+            simulation.discovery.state(engine.uid, "Gone")
             engine.end()
             host.come_back()
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
         case "drain":
-            successor = world.engine(engine.plan, True)
-            await drain(world, engine)
-            world.engines[fault.target] = successor
+            successor = simulation.engine(engine.plan, True)
+            await drain(simulation, engine)
+            simulation.engines[fault.target] = successor
         case "readdress":
             engine.end()
-            world.discovery.state(engine.uid, "Gone")
+            simulation.discovery.state(engine.uid, "Gone")
             await trio.sleep(0)  # its port is free
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
         case "loss":
             host.loss = fault.amount
             await trio.sleep(fault.for_s)
@@ -118,27 +118,27 @@
             host.rate = float("inf")
 
 
-async def drain(world: World, engine: VirtualEngine) -> None:
+async def drain(simulation: Simulation, engine: VirtualEngine) -> None:
     if engine.over:
         return
     engine.model.drain()
-    world.discovery.state(engine.uid, "Terminating")
+    simulation.discovery.state(engine.uid, "Terminating")
     await trio.sleep(GONE_S)
-    world.discovery.state(engine.uid, "Gone")
+    simulation.discovery.state(engine.uid, "Gone")
     engine.end()
 
 
-async def fleet_fault(world: World, fault: FaultPlan) -> None:
+async def fleet_fault(simulation: Simulation, fault: FaultPlan) -> None:
     match fault.kind:
         case "slowdown":
-            engines = list(world.engines)
+            engines = list(simulation.engines)
             for engine in engines:
                 engine.slower(fault.amount)
             await trio.sleep(fault.for_s)
             for engine in engines:
                 engine.slower(1.0)
         case "surge":
-            plans = world.scenario.requests
+            plans = simulation.scenario.requests
             if plans:
                 async with trio.open_nursery() as nursery:
                     for k in range(min(int(fault.amount), 100)):
@@ -153,19 +153,19 @@
                             prompt_tokens=like.prompt_tokens,
                             output_tokens=like.output_tokens,
                         )
-                        nursery.start_soon(world.ask, f"s{fault.at_s:g}.{k}", plan)
+                        nursery.start_soon(simulation.ask, f"s{fault.at_s:g}.{k}", plan)
         case "deploy":
-            zone = world.engines[fault.target % len(world.engines)].plan.zone
+            zone = simulation.engines[fault.target % len(simulation.engines)].plan.zone
             async with trio.open_nursery() as nursery:
-                for k, engine in enumerate(world.engines):
+                for k, engine in enumerate(simulation.engines):
                     if engine.plan.zone == zone and not engine.over:
-                        world.engines[k] = world.engine(engine.plan, True)
-                        nursery.start_soon(drain, world, engine)
+                        simulation.engines[k] = simulation.engine(engine.plan, True)
+                        nursery.start_soon(drain, simulation, engine)
                         await trio.sleep(DEPLOY_STEP_S)
 
 
-async def list_fault(world: World, fault: FaultPlan) -> None:
-    discovery = world.discovery
+async def list_fault(simulation: Simulation, fault: FaultPlan) -> None:
+    discovery = simulation.discovery
     match fault.kind:
         case "list-late":
             discovery.directory.late_s = fault.amount
@@ -180,12 +180,12 @@
         case "list-down":
             discovery.down()
             await trio.sleep(fault.for_s)
-            if discovery is world.discovery:
-                world.nursery.start_soon(discovery.serve, world.nursery)
+            if discovery is simulation.discovery:
+                simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-nonsense":
             lines = (b"{", b"[]", b'{"targets":[{}]}', b'{"rev":"x","targets":[]}', b"\xff\xfe" * 9)
             discovery.nonsense = [
-                lines[(k + fault.target) % len(lines)] for k in range(world.scenario.routers)
+                lines[(k + fault.target) % len(lines)] for k in range(simulation.scenario.routers)
             ]
             discovery.wake()
         case "list-silent":
@@ -194,23 +194,23 @@
             await trio.sleep(fault.for_s)
             discovery.silent = False
             discovery.down()
-            if discovery is world.discovery:
-                world.nursery.start_soon(discovery.serve, world.nursery)
+            if discovery is simulation.discovery:
+                simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-moved":
-            number = len([n for n in world.network.hosts if n.startswith("d")])
-            moved = VirtualDiscovery(world.network.host(f"d{number}", f"127.0.3.{number + 1}"))
+            number = len([n for n in simulation.network.hosts if n.startswith("d")])
+            moved = VirtualDiscovery(simulation.network.host(f"d{number}", f"127.0.3.{number + 1}"))
             moved.directory = discovery.directory
-            world.discovery = moved
-            world.nursery.start_soon(moved.serve, world.nursery)
-            for router in world.routers:
+            simulation.discovery = moved
+            simulation.nursery.start_soon(moved.serve, simulation.nursery)
+            for router in simulation.routers:
                 router.discovery = moved
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
             discovery.down()
 
 
-async def router_fault(world: World, fault: FaultPlan) -> None:
-    router = world.routers[fault.target]
+async def router_fault(simulation: Simulation, fault: FaultPlan) -> None:
+    router = simulation.routers[fault.target]
     match fault.kind:
         case "stop" | "kill":
             if router.ended.is_set():
@@ -218,20 +218,20 @@
             (router.stop if fault.kind == "stop" else router.kill)()
             await router.ended.wait()
             await trio.sleep(fault.for_s)
-            world.nursery.start_soon(router.run)
+            simulation.nursery.start_soon(router.run)
             await trio.sleep(0.01)
         case "sent-away":
-            await sent_away(world, router, fault.for_s)
+            await sent_away(simulation, router, fault.for_s)
         case "reload":
-            world.broken_config = bool(fault.target % 2)
+            simulation.broken_config = bool(fault.target % 2)
             router.system.deliver(signal.SIGHUP)
             await trio.sleep(0.1)
-            world.broken_config = False
+            simulation.broken_config = False
         case "clock":
             router.system.wall_ahead_s += fault.amount
 
 
-async def sent_away(world: World, router: Router, for_s: float) -> None:
+async def sent_away(simulation: Simulation, router: Router, for_s: float) -> None:
     """A drain call, and the call back, unless the process has ended meanwhile."""
     program, life = router.program, router.life()
     if program is None or router.ended.is_set():
@@ -249,25 +249,25 @@
             held = [c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > HELD_S]
             if held:
                 text = f"{router.name} is drained and holds an idle connection: {held[0]!r}"
-                world.judge.violation("rest", text, router.name)
+                simulation.judge.violation("rest", text, router.name)
     if router.life() == life and not router.ended.is_set():
         program.operator_commands.resume()
 
 
-async def partition(world: World, fault: FaultPlan) -> None:
+async def partition(simulation: Simulation, fault: FaultPlan) -> None:
     a = f"r{fault.target}"
     b = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
     if b.startswith("e"):
         k = int(b[1:]) if b[1:].isdigit() else 0
-        b = host_of(world, k).name
+        b = host_of(simulation, k).name
     there = [(b, a)] if fault.how == "back" else [(a, b)]
     ways = [(a, b), (b, a)] if fault.kind == "partition" else there
     for way in ways:
-        world.network.cut(*way)
+        simulation.network.cut(*way)
     await trio.sleep(fault.for_s)
     for way in ways:
-        world.network.heal(*way)
+        simulation.network.heal(*way)
 
 
-def host_of(world: World, number: int) -> Host:
-    return world.engines[number % len(world.engines)].host
+def host_of(simulation: Simulation, number: int) -> Host:
+    return simulation.engines[number % len(simulation.engines)].host
--- a/sorreldock/lab/simulation/shrink.py
+++ b/sorreldock/lab/simulation/shrink.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .runner import play
+from .runner import run_scenario
 from .scenario import Scenario, WeatherPlan
 
 MOST_RUNS = 400
@@ -71,7 +71,7 @@
 
 
 def breaks(scenario: Scenario, rule: str) -> bool:
-    return any(v.rule == rule for v in play(scenario).violations)
+    return any(v.rule == rule for v in run_scenario(scenario).violations)
 
 
 def shrink(
--- a/sorreldock/program/simulation_commands.py
+++ b/sorreldock/program/simulation_commands.py
@@ -95,10 +95,10 @@
             print(f"{len(chosen)} seeds simulated twice, {len(diverged)} diverged")
             raise typer.Exit(1 if diverged else 0)
         if trace:
-            from ..lab.simulation.runner import play
+            from ..lab.simulation.runner import run_scenario
 
             with mutated(mutant):
-                result = play(scenario_to_play, keep_trace=True)
+                result = run_scenario(scenario_to_play, keep_trace=True)
             sys.stdout.write("".join(f"{line}\n" for line in result.trace))
             raise typer.Exit(1 if result.violations else 0)
         if seeds:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -26,7 +26,7 @@
 from sorreldock.lab.simulation.network import Network, VirtualSocket, Weather
 from sorreldock.lab.simulation.readers import End, FrameReader, Head, HttpReader, NotReadable, Part
 from sorreldock.lab.simulation.replay import compare
-from sorreldock.lab.simulation.runner import World, play
+from sorreldock.lab.simulation.runner import Simulation, run_scenario
 from sorreldock.lab.simulation.scenario import CLIENTS, FAULTS, Scenario, draw, dump, load
 from sorreldock.lab.simulation.shrink import breaks, shrink
 from sorreldock.program import simulation_commands
@@ -347,7 +347,7 @@
 
 
 def test_the_same_seed_comes_to_the_same_steps_and_another_one_does_not() -> None:
-    one, again, other = play(draw(3), keep_trace=True), play(draw(3), keep_trace=True), play(draw(4))
+    one, again, other = run_scenario(draw(3), keep_trace=True), run_scenario(draw(3), keep_trace=True), run_scenario(draw(4))
     assert one.trace == again.trace and one.digest == again.digest != other.digest
 
 
@@ -362,7 +362,7 @@
         timeout=60,
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
     )
-    assert made.returncode == 0 and made.stdout.splitlines() == play(draw(5), keep_trace=True).trace
+    assert made.returncode == 0 and made.stdout.splitlines() == run_scenario(draw(5), keep_trace=True).trace
 
 
 def test_what_differs_is_named_by_its_step() -> None:
@@ -440,19 +440,19 @@
 def test_a_scenario_breaks_its_rule_without_the_fix_and_none_with_it(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert play(load(path)).violations == []
+    assert run_scenario(load(path)).violations == []
     place, name, was, rule = BEFORE[path.stem]
     monkeypatch.setattr(place, name, was)
-    assert rule in {v.rule for v in play(load(path)).violations}
+    assert rule in {v.rule for v in run_scenario(load(path)).violations}
 
 
 def test_at_eight_routers_of_thin_traffic_lost_answers_come_from_elsewhere() -> None:
     """A probe that was answered ended the watch over a late attempt: its request waited for its deadline."""
     calls = [plans.RequestPlan(at_s=0.2 + k / 10, router=k % 8, deadline_s=5.0) for k in range(96)]
     lost = [plans.FaultPlan(kind="spoil", how="lost", at_s=8.9, target=k) for k in range(3)]
-    engines, played = [plans.EnginePlan()] * 3, list[World]()
+    engines, played = [plans.EnginePlan()] * 3, list[Simulation]()
     scenario = Scenario(seed=61, routers=8, probes=True, engines=engines, requests=calls, faults=lost)
-    result = play(scenario, before=played.append)
+    result = run_scenario(scenario, before=played.append)
     assert not result.violations and result.attempts > 100
     assert all(rpc.served for rpc in played[0].judge.rpcs)
 
@@ -460,7 +460,7 @@
 def test_each_mutant_is_found_and_not_the_router() -> None:
     found = find_all(list(MUTANTS), range(500), 8)
     assert {f.mutant for f in found if f.seeds is None} == set()
-    assert not any(play(draw(f.seed or 0)).violations for f in found)
+    assert not any(run_scenario(draw(f.seed or 0)).violations for f in found)
 
 
 def test_a_failing_scenario_shrinks_to_a_file_that_fails_as_it_did(tmp_path: Path) -> None:
@@ -491,14 +491,14 @@
 
 
 def play_without_rest(scenario: Scenario) -> list[object]:
-    from sorreldock.lab.simulation.runner import World
+    from sorreldock.lab.simulation.runner import Simulation
 
-    was = World._rest
-    World._rest = lambda self: trio.sleep(1.0)  # type: ignore[method-assign,assignment]
+    was = Simulation._rest
+    Simulation._rest = lambda self: trio.sleep(1.0)  # type: ignore[method-assign,assignment]
     try:
-        return list(play(scenario).violations)
+        return list(run_scenario(scenario).violations)
     finally:
-        World._rest = was  # type: ignore[method-assign]
+        Simulation._rest = was  # type: ignore[method-assign]
 
 
 def dies_at_three(pipe: Connection, mutant: str) -> None:
