--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -15,10 +15,10 @@
 from ..engine import Engine, Job, Output, Verdict
 from ..settings import EngineSettings
 from .frames import Writer
-from .invariants import Judge
+from .invariants import InvariantChecker
 from .network import Host, VirtualSocket
 from .readers import DATA, HEADERS, End, FrameReader, Head, HttpReader, NotReadable, Part
-from .scenario import EnginePlan
+from .scenario import ServerPlan
 
 PORT = 9000
 HEAD = [(":status", "200"), ("content-type", "application/grpc")]
@@ -50,14 +50,14 @@
     """An engine on the virtual network."""
 
     def __init__(
-        self, judge: Judge, host: Host, uid: str, settings: EngineSettings, started_at: float
+        self, judge: InvariantChecker, host: Host, uid: str, settings: EngineSettings, started_at: float
     ) -> None:
         self.judge, self.host, self.uid, self.settings = judge, host, uid, settings
         self.model = Engine(settings, started_at)
         self.hung = self.full = self.over = False
         self.paused_until = 0.0
         self.spoil, self.spoils = "", 0
-        self.plan = EnginePlan()
+        self.plan = ServerPlan()
         self._pending: dict[str, Pending] = {}
         self._due = math.inf
         self._count = 0
@@ -120,7 +120,7 @@
         if verdict is Verdict.FALLEN:
             if not was:
                 share = self.model.share(now)
-                self.judge.violation(
+                self.judge.report_violation(
                     "cold", f"{self.uid} was pushed over at {share:.2f} of its speed", self.host.name
                 )
             for pending in self._pending.values():
--- a/sorreldock/lab/simulation/explore.py
+++ b/sorreldock/lab/simulation/explore.py
@@ -18,14 +18,14 @@
 from .runner import run_scenario
 from .scenario import Scenario, draw
 
-SHARE = 8  # seeds that a worker gets at once
-Work = Callable[[Connection, str], None]
-LONGEST_S = 120.0  # of machine time for one scenario; then its process is ended
-MOST_CRASHES = 20
+SEEDS_PER_BATCH = 8  # seeds that a worker gets at once
+WorkerMain = Callable[[Connection, str], None]
+MAX_SCENARIO_WALL_S = 120.0  # of machine time for one scenario; then its process is ended
+MAX_CRASHES = 20
 
 
 @dataclass(slots=True)
-class Explored:
+class ScenarioResult:
     """One scenario's result, as it passes between processes."""
 
     seed: int
@@ -42,7 +42,7 @@
     """What many scenarios came to."""
 
     wall_s: float = 0.0
-    results: dict[int, Explored] = field(default_factory=dict)
+    results: dict[int, ScenarioResult] = field(default_factory=dict)
 
     def figures(self) -> dict[str, Any]:
         """`digest` is of all traces in the order of their seeds, whichever process played them."""
@@ -65,7 +65,7 @@
 
 
 @contextmanager
-def resting_collector() -> Iterator[None]:
+def frozen_heap() -> Iterator[None]:
     """What lives now is not walked in the collections between scenarios."""
     gc.collect()
     gc.freeze()
@@ -75,16 +75,16 @@
         gc.unfreeze()
 
 
-def explore_here(scenario: Scenario) -> Explored:
+def explore_scenario(scenario: Scenario) -> ScenarioResult:
     """Play one, in this process. What broke is told with the last events on the wires concerned."""
     result = run_scenario(scenario)
     if result.violations:  # once more, with its trace: it comes to the same
         result = run_scenario(scenario, keep_trace=True)
     violations = [
-        {"seed": scenario.seed, "rule": v.rule, "at_s": v.at_s, "text": v.text, "last": result.last(v)}
+        {"seed": scenario.seed, "rule": v.rule, "at_s": v.at_s, "text": v.text, "last": result.last_steps(v)}
         for v in result.violations
     ]
-    return Explored(
+    return ScenarioResult(
         scenario.seed,
         result.digest,
         result.rpcs,
@@ -95,96 +95,103 @@
     )
 
 
-def crashed(seed: int, text: str) -> Explored:
+def crash_result(seed: int, text: str) -> ScenarioResult:
     violation = {"seed": seed, "rule": "fault", "at_s": 0.0, "text": text, "last": []}
-    return Explored(seed, "", 0, 0, 0.0, [violation], {})
+    return ScenarioResult(seed, "", 0, 0, 0.0, [violation], {})
 
 
-def _work(pipe: Connection, mutant: str) -> None:
+def _run_worker(pipe: Connection, mutant: str) -> None:
     """A worker: plays the seeds that come, until the pipe's end."""
     from .mutants import mutated
 
-    with mutated(mutant), resting_collector(), suppress(EOFError, KeyboardInterrupt):
+    with mutated(mutant), frozen_heap(), suppress(EOFError, KeyboardInterrupt):
         while True:
             for seed in pipe.recv():
                 pipe.send(seed)
-                faulthandler.dump_traceback_later(LONGEST_S, exit=True)
+                faulthandler.dump_traceback_later(MAX_SCENARIO_WALL_S, exit=True)
                 try:
-                    made = explore_here(draw(seed))
+                    result = explore_scenario(draw(seed))
                 except Exception as error:
                     at = traceback.extract_tb(error.__traceback__)[-1]
-                    made = crashed(seed, f"the world failed: {error!r} at {at.name}:{at.lineno}")
+                    result = crash_result(seed, f"the world failed: {error!r} at {at.name}:{at.lineno}")
                 faulthandler.cancel_dump_traceback_later()
-                pipe.send(made)
+                pipe.send(result)
                 gc.collect()
 
 
 class _Worker:
-    def __init__(self, mutant: str, work: Work) -> None:
+    def __init__(self, mutant: str, worker_main: WorkerMain) -> None:
         context = multiprocessing.get_context("spawn")
-        self.pipe, theirs = context.Pipe()
-        self.process = context.Process(target=work, args=(theirs, mutant), daemon=True)
+        self.pipe, worker_end = context.Pipe()
+        self.process = context.Process(target=worker_main, args=(worker_end, mutant), daemon=True)
         self.process.start()
-        theirs.close()
-        self.waiting: list[int] = []
-        self.playing: int | None = None
+        worker_end.close()
+        self.pending_seeds: list[int] = []
+        self.current_seed: int | None = None
 
 
 def explore(
     seeds: Iterable[int],
     jobs: int,
     mutant: str = "",
-    told: Callable[[Explored], None] = lambda result: None,
-    work: Work = _work,
+    on_result: Callable[[ScenarioResult], None] = lambda result: None,
+    worker_main: WorkerMain = _run_worker,
 ) -> Report:
     """Play all these seeds; `told` hears of each as it ends, in no order. `work` is what the processes do."""
-    report, began = Report(), time.monotonic()
-    todo = deque(seeds)
-    total, crashes = len(todo), 0
-    workers = [_Worker(mutant, work) for _ in range(min(jobs, max((total + SHARE - 1) // SHARE, 1)))]
+    report, started_at = Report(), time.monotonic()
+    unassigned = deque(seeds)
+    scenario_count, crash_count = len(unassigned), 0
+    workers = [
+        _Worker(mutant, worker_main)
+        for _ in range(min(jobs, max((scenario_count + SEEDS_PER_BATCH - 1) // SEEDS_PER_BATCH, 1)))
+    ]
 
-    def take(result: Explored) -> None:
+    def add_result(result: ScenarioResult) -> None:
         report.results[result.seed] = result
-        told(result)
+        on_result(result)
 
-    def give(worker: _Worker) -> None:
-        worker.waiting = [todo.popleft() for _ in range(min(SHARE, len(todo)))]
-        if worker.waiting:
-            worker.pipe.send(worker.waiting)
+    def send_batch(worker: _Worker) -> None:
+        worker.pending_seeds = [unassigned.popleft() for _ in range(min(SEEDS_PER_BATCH, len(unassigned)))]
+        if worker.pending_seeds:
+            worker.pipe.send(worker.pending_seeds)
 
     try:
         for worker in workers:
-            give(worker)
-        while len(report.results) < total:
-            for pipe in wait([w.pipe for w in workers if w.waiting]):
+            send_batch(worker)
+        while len(report.results) < scenario_count:
+            for pipe in wait([w.pipe for w in workers if w.pending_seeds]):
                 worker = next(w for w in workers if w.pipe is pipe)
                 try:
-                    word = worker.pipe.recv()
+                    message = worker.pipe.recv()
                 except (EOFError, OSError):
-                    lost = worker.playing if worker.playing is not None else worker.waiting[0]
+                    crashed_seed = (
+                        worker.current_seed if worker.current_seed is not None else worker.pending_seeds[0]
+                    )
                     worker.process.join()
-                    take(crashed(lost, f"the process died with status {worker.process.exitcode}"))
-                    todo.extendleft(reversed([s for s in worker.waiting if s != lost]))
+                    add_result(
+                        crash_result(crashed_seed, f"the process died with status {worker.process.exitcode}")
+                    )
+                    unassigned.extendleft(reversed([s for s in worker.pending_seeds if s != crashed_seed]))
                     workers.remove(worker)
-                    crashes += 1
-                    if crashes > MOST_CRASHES:
-                        raise RuntimeError(f"{crashes} processes died") from None
-                    workers.append(_Worker(mutant, work))
-                    give(workers[-1])
+                    crash_count += 1
+                    if crash_count > MAX_CRASHES:
+                        raise RuntimeError(f"{crash_count} processes died") from None
+                    workers.append(_Worker(mutant, worker_main))
+                    send_batch(workers[-1])
                     continue
-                if isinstance(word, int):
-                    worker.playing = word
+                if isinstance(message, int):
+                    worker.current_seed = message
                     continue
-                worker.waiting.remove(word.seed)
-                worker.playing = None
-                take(word)
-                if not worker.waiting:
-                    give(worker)
+                worker.pending_seeds.remove(message.seed)
+                worker.current_seed = None
+                add_result(message)
+                if not worker.pending_seeds:
+                    send_batch(worker)
     finally:
         for worker in workers:
             worker.pipe.close()
             worker.process.join(2.0)
             if worker.process.is_alive():
                 worker.process.terminate()
-    report.wall_s = time.monotonic() - began
+    report.wall_s = time.monotonic() - started_at
     return report
--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -112,7 +112,7 @@
         finally:
             closed.set()
 
-    async def ask(self, plan: RequestPlan) -> None:
+    async def send_request(self, plan: RequestPlan) -> None:
         client = await self._client(plan.protocol)
         request = Request(
             plan.rpc_class, body_of(plan), "acme", "", plan.prefix, plan.prompt_tokens, 0, plan.output_tokens
--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -24,7 +24,7 @@
 from ...rules import Gateway
 from ...transport.budget import PayloadBudget
 from ...transport.pool import ConnectionPool
-from .explore import Explored, explore_here
+from .explore import ScenarioResult, explore_scenario
 from .scenario import draw
 
 Patch = tuple[Any, str, Any]
@@ -238,7 +238,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class Finding:
     """After how many seeds a mutant was found."""
 
     mutant: str
@@ -248,18 +248,18 @@
     text: str
 
 
-def find(name: str, seeds: range) -> Found:
+def find(name: str, seeds: range) -> Finding:
     """Play these seeds against a mutant, until the rule that it breaks is seen broken."""
     with mutated(name):
         for count, seed in enumerate(seeds, 1):
-            explored: Explored = explore_here(draw(seed))
+            explored: ScenarioResult = explore_scenario(draw(seed))
             for violation in explored.violations:
                 if violation["rule"] == MUTANTS[name].rule:
-                    return Found(name, count, seed, violation["rule"], violation["text"])
-    return Found(name, None, None, "", "")
+                    return Finding(name, count, seed, violation["rule"], violation["text"])
+    return Finding(name, None, None, "", "")
 
 
-def find_all(names: Sequence[str], seeds: range, jobs: int) -> list[Found]:
+def find_all(names: Sequence[str], seeds: range, jobs: int) -> list[Finding]:
     """Each in a process of its own, `jobs` at once."""
     if jobs == 1 or len(names) == 1:
         return [find(name, seeds) for name in names]
--- a/sorreldock/lab/simulation/replay.py
+++ b/sorreldock/lab/simulation/replay.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from itertools import zip_longest
 
-LONGEST_S = 300.0
-SEEDS_OF_HASHES = ("1", "4242")  # PYTHONHASHSEED of the two
+MAX_RUN_WALL_S = 300.0
+HASH_SEEDS = ("1", "4242")  # PYTHONHASHSEED of the two
 
 
 @dataclass(frozen=True, slots=True)
-class Parting:
+class Divergence:
     """Where two runs of a seed part: the step's number from 1, and both lines."""
 
     seed: int
@@ -22,24 +22,28 @@
     second: str
 
 
-def traced(seed: int, hash_seed: str) -> list[str]:
+def run_traced(seed: int, hash_seed: str) -> list[str]:
     """The trace that a process of its own comes to."""
     command = [sys.executable, "-m", "sorreldock", "lab", "explore", "--seed", str(seed), "--trace"]
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
-    made = subprocess.run(command, env=environment, capture_output=True, text=True, timeout=LONGEST_S)
-    if made.returncode not in (0, 1):
-        raise RuntimeError(f"seed {seed} could not be played: {made.stderr.strip()[-200:]}")
-    return made.stdout.splitlines()
-
-
-def compare(seed: int, first: list[str], second: list[str]) -> Parting | None:
-    for step, (one, other) in enumerate(zip_longest(first, second, fillvalue="(no such step)"), 1):
-        if one != other:
-            return Parting(seed, step, one, other)
+    completed = subprocess.run(
+        command, env=environment, capture_output=True, text=True, timeout=MAX_RUN_WALL_S
+    )
+    if completed.returncode not in (0, 1):
+        raise RuntimeError(f"seed {seed} could not be played: {completed.stderr.strip()[-200:]}")
+    return completed.stdout.splitlines()
+
+
+def compare(seed: int, first: list[str], second: list[str]) -> Divergence | None:
+    for step, (first_line, second_line) in enumerate(
+        zip_longest(first, second, fillvalue="(no such step)"), 1
+    ):
+        if first_line != second_line:
+            return Divergence(seed, step, first_line, second_line)
     return None
 
 
-def twice(seed: int) -> Parting | None:
+def run_twice(seed: int) -> Divergence | None:
     """None: byte for byte the same."""
-    first, second = (traced(seed, hashes) for hashes in SEEDS_OF_HASHES)
+    first, second = (run_traced(seed, hash_seed) for hash_seed in HASH_SEEDS)
     return compare(seed, first, second)
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -24,20 +24,20 @@
 from .clients import GRPC_PORT, HTTP_PORT, Machine
 from .determinism import Guard, Passes, seeded, world_clock
 from .engines import VirtualEngine
-from .invariants import Judge, Violation
+from .invariants import InvariantChecker, Violation
 from .library import Library
 from .lists import VirtualDiscovery
 from .network import Network, Weather
-from .scenario import CLASSES, EnginePlan, RequestPlan, Scenario
+from .scenario import REQUEST_CLASSES, RequestPlan, Scenario, ServerPlan
 from .system import EPOCH, VirtualSystem
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
 DRAINED_S = 3.0  # a drained engine goes so long after its notice
-REST_S = 300.0  # virtual: a world that has not come to rest by then never does
-STOP_S = 75.0
-LAST_LINES = 12
+MAX_RUN_S = 300.0  # virtual: a world that has not come to rest by then never does
+MAX_STOP_S = 75.0
+MAX_LAST_STEPS = 12
 # What the program logs of its own faults, and of rules that it has seen itself break.
-FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client")
+FAULT_LOG_MARKS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client")
 
 
 @dataclass
@@ -53,10 +53,10 @@
     faults: dict[str, int]
     trace: list[str] = field(default_factory=list)
 
-    def last(self, violation: Violation) -> list[str]:
+    def last_steps(self, violation: Violation) -> list[str]:
         """The last events on the wires concerned, and what happened to machines, up to the violation."""
-        names = violation.wires
-        chosen: deque[str] = deque(maxlen=LAST_LINES)
+        names = violation.pipes
+        chosen: deque[str] = deque(maxlen=MAX_LAST_STEPS)
         for line in self.trace:
             if float(line.split(" ", 1)[0]) > violation.at_s + 1e-6:
                 break
@@ -80,7 +80,7 @@
     def config(self) -> Config:
         simulation, scenario = self.simulation, self.simulation.scenario
         known = self.discovery.directory.whole(trio.current_time())
-        simulation.judge.list_given(self.name, known["targets"], True)
+        simulation.checker.record_targets(self.name, known["targets"], True)
         settings = decode_settings(simulation.settings(self.index))
         kserve = Kserve(f"{self.host.address}:{GRPC_PORT}", ("desc",), "alt-text", "acme", 5.0)
         return Config(
@@ -95,47 +95,47 @@
             scenario.memory_mb,
         )
 
-    def read_again(self) -> Config:
+    def reread_config(self) -> Config:
         program = self.program
         assert program is not None
-        if self.simulation.broken_config:
+        if self.simulation.is_config_broken:
             raise ValueError("not readable")
         address = self.discovery.address
         return replace(program.config, discovery=address, discovery_in_file=address)
 
     async def run(self) -> None:
         """One life of the process."""
-        judge = self.simulation.judge
-        judge.lives[self.name] = judge.lives.get(self.name, 0) + 1
+        checker = self.simulation.checker
+        checker.incarnations[self.name] = checker.incarnations.get(self.name, 0) + 1
         self.ended = trio.Event()
-        self.program = Program(self.config(), self.read_again, self.system)
+        self.program = Program(self.config(), self.reread_config, self.system)
         try:
             with trio.CancelScope() as self.scope:
                 await self.program.run()
         except Exception as error:
-            if self.life() in judge.killed:  # its sockets went before its tasks did
+            if self.incarnation() in checker.killed_at:  # its sockets went before its tasks did
                 return
-            judge.violation("fault", f"{self.name} failed: {faults_in(error)}", self.name)
+            checker.report_violation("fault", f"{self.name} failed: {describe_error(error)}", self.name)
         finally:
             self.host.close_all()
             self.simulation.network.record(f"ended {self.name}")
             self.ended.set()
 
-    def life(self) -> tuple[str, int]:
-        return self.name, self.simulation.judge.lives.get(self.name, 0)
+    def incarnation(self) -> tuple[str, int]:
+        return self.name, self.simulation.checker.incarnations.get(self.name, 0)
 
     def stop(self) -> None:
-        self.simulation.judge.stop_requested.setdefault(self.life(), trio.current_time())
+        self.simulation.checker.stop_requested_at.setdefault(self.incarnation(), trio.current_time())
         self.system.deliver(signal.SIGTERM)
 
     def kill(self) -> None:
-        self.simulation.judge.killed.setdefault(self.life(), trio.current_time())
+        self.simulation.checker.killed_at.setdefault(self.incarnation(), trio.current_time())
         self.host.close_all()
         if self.scope is not None:
             self.scope.cancel()
 
 
-def faults_in(error: BaseException) -> str:
+def describe_error(error: BaseException) -> str:
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     at = error.__traceback__
@@ -167,13 +167,13 @@
             plan.reset_drops,
         )
         self.network = Network(self.rng, weather, self.record)
-        self.judge = Judge(self.network)
+        self.checker = InvariantChecker(self.network)
         self.discovery = VirtualDiscovery(self.network.host("d0", "127.0.3.1"))
-        self.engines: list[VirtualEngine] = []
-        self.broken_config = False
+        self.servers: list[VirtualEngine] = []
+        self.is_config_broken = False
         self.faults: Counter[str] = Counter()
-        self.uids = 0
-        self.machines: dict[int, Machine] = {}
+        self.target_count = 0
+        self.client_hosts: dict[int, Machine] = {}
         self.nursery: trio.Nursery
         self.routers: list[Router] = []
         self.library = Library(self)
@@ -184,8 +184,8 @@
         self._hash.update(b"\n")
         if self.keep_trace:
             self.trace.append(text)
-        if line.startswith("log ") and any(word in line for word in FAULT_RECORDS):
-            self.judge.violation("fault", line[:400], line.split(" ")[1])
+        if line.startswith("log ") and any(word in line for word in FAULT_LOG_MARKS):
+            self.checker.report_violation("fault", line[:400], line.split(" ")[1])
 
     # The fleet.
 
@@ -200,7 +200,7 @@
             "tick_s": 0.002,
             "categories": [
                 {"name": n, "aim_s": aim, "deadline_s": deadline, "points": worth, "stream": True}
-                for n, aim, deadline, worth in CLASSES
+                for n, aim, deadline, worth in REQUEST_CLASSES
             ],
             "policy_limits": {
                 "max_attempts": 6 if self.scenario.probes else 2,
@@ -226,10 +226,12 @@
     def zones(self) -> list[str]:
         return [f"z{k}" for k in range(max(p.zone for p in self.scenario.engines) + 1)]
 
-    def engine(self, plan: EnginePlan, cold: bool, host_of: VirtualEngine | None = None) -> VirtualEngine:
+    def start_server(
+        self, plan: ServerPlan, cold: bool, host_of: VirtualEngine | None = None
+    ) -> VirtualEngine:
         """Start an engine, on a machine of its own or in another's place, and publish it."""
-        now, number = trio.current_time(), self.uids
-        self.uids += 1
+        now, number = trio.current_time(), self.target_count
+        self.target_count += 1
         settings = EngineSettings(
             batch=plan.batch,
             queue=8,
@@ -246,7 +248,7 @@
         else:
             host = self.network.host(f"e{number}", f"127.0.2.{number + 1}")
         started = now if cold else now - 3600.0
-        made = VirtualEngine(self.judge, host, f"u{number}", settings, started)
+        made = VirtualEngine(self.checker, host, f"u{number}", settings, started)
         made.plan = plan
         self.nursery.start_soon(made.serve, self.nursery)
         entry = Entry(
@@ -262,22 +264,22 @@
 
     # A run.
 
-    async def main(self) -> None:
-        with trio.move_on_after(REST_S) as limit:
+    async def run(self) -> None:
+        with trio.move_on_after(MAX_RUN_S) as limit:
             async with trio.open_nursery() as self.nursery:
-                await self._run()
+                await self._run_phases()
                 self.nursery.cancel_scope.cancel()
         if limit.cancelled_caught:
-            self.judge.violation("rest", f"the world has not come to rest in {REST_S:g} s")
-        self.judge.conclude()
+            self.checker.report_violation("rest", f"the world has not come to rest in {MAX_RUN_S:g} s")
+        self.checker.check_at_end()
         self.record("end")
 
-    async def _run(self) -> None:
+    async def _run_phases(self) -> None:
         from .script import run_fault  # the faults know the world, and the world what they need of it
 
         scenario, nursery = self.scenario, self.nursery
         nursery.start_soon(self.discovery.serve, nursery)
-        self.engines = [self.engine(plan, plan.cold) for plan in scenario.engines]
+        self.servers = [self.start_server(plan, plan.cold) for plan in scenario.engines]
         self.routers = [Router(self, k) for k in range(scenario.routers)]
         async with trio.open_nursery() as acts:
             for router in self.routers:
@@ -285,32 +287,32 @@
             await trio.sleep(0.01)
             self.library.open(nursery)
             for k, plan in enumerate(scenario.requests):
-                acts.start_soon(self.ask, f"q{k}", plan)
+                acts.start_soon(self.send_request, f"q{k}", plan)
             for fault in scenario.faults:
                 acts.start_soon(run_fault, self, fault)
-        await self._rest()
-        await self._stop()
+        await self._check_idle()
+        await self._stop_routers()
 
-    async def ask(self, key: str, plan: RequestPlan) -> None:
+    async def send_request(self, key: str, plan: RequestPlan) -> None:
         await trio.sleep_until(plan.at_s)
         address = self.routers[plan.router].host.address
         if plan.client == "library":
-            await self.library.ask(plan)
+            await self.library.send_request(plan)
             return
-        machine = self.machines.get(plan.machine)
+        machine = self.client_hosts.get(plan.machine)
         if machine is None:
             host = self.network.host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
-            machine = self.machines[plan.machine] = Machine(
+            machine = self.client_hosts[plan.machine] = Machine(
                 host, rng=random.Random(f"{self.scenario.seed} {host.name}")
             )
         await machine.ask(key, plan, address, self.nursery)
 
-    async def _rest(self) -> None:
+    async def _check_idle(self) -> None:
         """All clients have what they came for: what the routers hold must be back to nothing."""
         await self.library.close()
-        for machine in self.machines.values():
+        for machine in self.client_hosts.values():
             machine.close()
-        await trio.sleep(max(deadline for _, _, deadline, _ in CLASSES) + 0.6)
+        await trio.sleep(max(deadline for _, _, deadline, _ in REQUEST_CLASSES) + 0.6)
         for router in self.routers:
             program = router.program
             if program is None or router.ended.is_set():
@@ -327,60 +329,70 @@
             }
             for what, held in left.items():
                 if held:
-                    self.judge.violation("leak", f"{router.name} holds {len(held)} {what}", router.name)
+                    self.checker.report_violation(
+                        "leak", f"{router.name} holds {len(held)} {what}", router.name
+                    )
             if program.payloads.used:
-                self.judge.violation(
+                self.checker.report_violation(
                     "leak", f"{router.name} counts {program.payloads.used} bytes of payloads"
                 )
             clients = sum(len(front.clients) for front in program.fronts.values())
             if clients:
-                self.judge.violation("leak", f"{router.name} has {clients} connections of clients that left")
+                self.checker.report_violation(
+                    "leak", f"{router.name} has {clients} connections of clients that left"
+                )
 
-    async def _stop(self) -> None:
+    async def _stop_routers(self) -> None:
         for router in self.routers:
             if not router.ended.is_set():
                 router.stop()
         for router in self.routers:
-            with trio.move_on_after(STOP_S) as scope:
+            with trio.move_on_after(MAX_STOP_S) as scope:
                 await router.ended.wait()
             if scope.cancelled_caught:
-                self.judge.violation("rest", f"{router.name} was told to stop and did not end", router.name)
+                self.checker.report_violation(
+                    "rest", f"{router.name} was told to stop and did not end", router.name
+                )
                 continue
-            if router.program is None or router.life() in self.judge.killed:
+            if router.program is None or router.incarnation() in self.checker.killed_at:
                 continue
             for use, count in router.program.budget.used.items():
                 if count:
-                    self.judge.violation("leak", f"{router.name} counts {count} descriptors for {use.value}s")
+                    self.checker.report_violation(
+                        "leak", f"{router.name} counts {count} descriptors for {use.value}s"
+                    )
 
 
 def run_scenario(
-    scenario: Scenario, keep_trace: bool = False, before: Callable[[Simulation], None] | None = None
+    scenario: Scenario, keep_trace: bool = False, on_start: Callable[[Simulation], None] | None = None
 ) -> Result:
     """Play it; the same scenario comes to the same result everywhere."""
     simulation = Simulation(scenario, keep_trace)
-    passes = Passes(lambda: simulation.judge.violation("rest", "the world stands still and does not rest"))
-    if before is not None:
-        before(simulation)
+    passes = Passes(
+        lambda: simulation.checker.report_violation("rest", "the world stands still and does not rest")
+    )
+    if on_start is not None:
+        on_start(simulation)
     ended_at = 0.0
 
     async def main() -> None:
         nonlocal ended_at
         with passes.scope:
-            await simulation.main()
+            await simulation.run()
         ended_at = trio.current_time()
 
     clock = world_clock(simulation.network.next_at, simulation.network.advance)
     with seeded(scenario.seed), Guard(), suppress(KeyboardInterrupt):
         trio.run(main, clock=clock, instruments=[passes])
-    judge = simulation.judge
+    checker = simulation.checker
     faults = dict(sorted(simulation.faults.items()))
     return Result(
         scenario.seed,
         simulation._hash.hexdigest(),
-        len(judge.rpcs),
-        judge.count,
+        len(checker.rpcs),
+        checker.attempt_count,
         round(ended_at, 6),
-        judge.violations,
+        checker.violations,
         faults,
         simulation.trace,
     )
--- a/sorreldock/lab/simulation/scenario.py
+++ b/sorreldock/lab/simulation/scenario.py
@@ -54,13 +54,13 @@
     "bad": "writes what is no request, or half of one",
     "library": "the client library",
 }
-SPOILS = ("cut", "reset", "size", "noise", "half", "head", "empty", "garbage", "extra", "lost")
+SPOIL_KINDS = ("cut", "reset", "size", "noise", "half", "head", "empty", "garbage", "extra", "lost")
 FaultKind = Annotated[str, msgspec.Meta(pattern="^(" + "|".join(FAULTS) + ")$")]
 ClientKind = Annotated[str, msgspec.Meta(pattern="^(" + "|".join(CLIENTS) + ")$")]
-CLASSES = (("alt-text", 1.5, 5.0, 5), ("title-suggest", 0.8, 3.0, 5), ("tag-suggest", 1.0, 4.0, 2))
+REQUEST_CLASSES = (("alt-text", 1.5, 5.0, 5), ("title-suggest", 0.8, 3.0, 5), ("tag-suggest", 1.0, 4.0, 2))
 
 
-class WeatherPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
+class NetworkPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
     """Delays and losses of a scenario's network."""
 
     delay_ms: NotNegative = 1.0
@@ -71,7 +71,7 @@
     reset_drops: bool = False
 
 
-class EnginePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
+class ServerPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
     """An engine of a scenario."""
 
     zone: Annotated[int, msgspec.Meta(ge=0, le=3)] = 0
@@ -115,10 +115,10 @@
     seed: int
     name: str = ""
     routers: Annotated[int, msgspec.Meta(ge=1, le=8)] = 1
-    engines: Annotated[list[EnginePlan], msgspec.Meta(min_length=1, max_length=64)]
+    engines: Annotated[list[ServerPlan], msgspec.Meta(min_length=1, max_length=64)]
     requests: list[RequestPlan] = []
     faults: list[FaultPlan] = []
-    weather: WeatherPlan = WeatherPlan()
+    weather: NetworkPlan = NetworkPlan()
     sockets: Annotated[int, msgspec.Meta(ge=100)] = 256
     memory_mb: Annotated[int, msgspec.Meta(ge=32)] = 64
     warm_up_s: Positive = 6.0
@@ -131,18 +131,18 @@
         for fault in self.faults:
             if fault.kind in ROUTER_FAULTS:
                 most = self.routers
-            elif fault.kind in ENGINE_FAULTS:
+            elif fault.kind in SERVER_FAULTS:
                 most = len(self.engines)
             else:
                 most = 1 << 30
             if fault.target >= most:
                 raise ValueError(f"faults: {fault.kind} has no target {fault.target}")
-            if fault.kind == "spoil" and fault.how not in SPOILS:
-                raise ValueError(f"faults: spoil has no way {fault.how!r}; it knows {', '.join(SPOILS)}")
+            if fault.kind == "spoil" and fault.how not in SPOIL_KINDS:
+                raise ValueError(f"faults: spoil has no way {fault.how!r}; it knows {', '.join(SPOIL_KINDS)}")
 
 
 ROUTER_FAULTS = ("stop", "kill", "sent-away", "reload", "clock", "partition", "one-way")
-ENGINE_FAULTS = (
+SERVER_FAULTS = (
     "slow",
     "errors",
     "full",
@@ -159,11 +159,20 @@
     "resets",
     "narrow",
 )
-WEIGHTS = {"drain": 3, "deploy": 3, "stop": 3, "spoil": 3, "hang": 2, "crash": 2, "partition": 2, "kill": 2}
+FAULT_WEIGHTS = {
+    "drain": 3,
+    "deploy": 3,
+    "stop": 3,
+    "spoil": 3,
+    "hang": 2,
+    "crash": 2,
+    "partition": 2,
+    "kill": 2,
+}
 
 
 def draw_request(rng: random.Random, at_s: float, routers: int, protocol: str) -> RequestPlan:
-    rpc_class, _, deadline, _ = rng.choice(CLASSES)
+    rpc_class, _, deadline, _ = rng.choice(REQUEST_CLASSES)
     client = rng.choices(list(CLIENTS), (14, 2, 2, 1, 2, 3))[0]
     large = rng.random() < 0.07
     return RequestPlan(
@@ -183,13 +192,13 @@
 
 def draw_fault(rng: random.Random, routers: int, engines: int, until: float) -> FaultPlan:
     kinds = [k for k in FAULTS if k != "sent-away"]  # which `draw` adds: older seeds stay what they were
-    kind = rng.choices(kinds, [WEIGHTS.get(k, 1) for k in kinds])[0]
+    kind = rng.choices(kinds, [FAULT_WEIGHTS.get(k, 1) for k in kinds])[0]
     at, lasts = (
         round(rng.uniform(0.2, until), 3),
         round(rng.choice((0.3, 1.0, 2.5)) * rng.uniform(0.7, 1.3), 3),
     )
     target, amount, other, how = 0, 0.0, "", ""
-    if kind in ENGINE_FAULTS:
+    if kind in SERVER_FAULTS:
         target = rng.randrange(engines)
     elif kind in ROUTER_FAULTS:
         target = rng.randrange(routers)
@@ -209,7 +218,7 @@
         case "narrow":
             amount = rng.choice((2000.0, 20000.0))
         case "spoil":
-            how = rng.choice([s for s in SPOILS if s != "lost"])  # as above
+            how = rng.choice([s for s in SPOIL_KINDS if s != "lost"])  # as above
         case "partition" | "one-way":
             other = rng.choice((f"e{rng.randrange(engines)}", "d0", f"c{rng.randrange(6)}"))
             how = rng.choice(("", "back")) if kind == "one-way" else ""
@@ -222,7 +231,7 @@
     routers = rng.choices((1, 2, 3, 4), (4, 4, 2, 1))[0]
     zones = rng.choice((1, 2, 2))
     engines = [
-        EnginePlan(
+        ServerPlan(
             zone=k % zones,
             batch=rng.choice((2, 4, 8)),
             step_s=rng.choice((0.02, 0.05)),
@@ -243,20 +252,24 @@
         if faults and rng.random() < 0.4:  # incidents come together, and often on one machine
             at = max(faults[-1].at_s + rng.uniform(-0.4, 0.4), 0.1)
             fault = msgspec.structs.replace(fault, at_s=round(at, 3))
-            if fault.kind in ENGINE_FAULTS and faults[-1].kind in ENGINE_FAULTS:
+            if fault.kind in SERVER_FAULTS and faults[-1].kind in SERVER_FAULTS:
                 fault = msgspec.structs.replace(fault, target=faults[-1].target)
         faults.append(fault)
     seen: set[tuple[str, int]] = set()  # a machine starts again once, and the list moves once
     kept = []
     for fault in sorted(faults, key=lambda f: f.at_s):
         family = (
-            "router" if fault.kind in ("stop", "kill") else "engine" if fault.kind in ENDS else fault.kind
+            "router"
+            if fault.kind in ("stop", "kill")
+            else "engine"
+            if fault.kind in REPLACING_FAULTS
+            else fault.kind
         )
         if family in ("router", "engine", "list-moved") and (family, fault.target) in seen:
             continue
         seen.add((family, fault.target))
         kept.append(fault)
-    weather = WeatherPlan(
+    weather = NetworkPlan(
         delay_ms=rng.choice((0.2, 1.0, 5.0)),
         jitter_ms=rng.choice((0.0, 0.5, 4.0)),
         loss=rng.choice((0.0, 0.0, 0.0, 0.01)),
@@ -286,7 +299,7 @@
     )
 
 
-ENDS = ("crash", "vanish", "drain", "readdress")
+REPLACING_FAULTS = ("crash", "vanish", "drain", "readdress")
 
 
 def load(path: Path) -> Scenario:
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -10,17 +10,17 @@
 from ...transport.admission import Stage
 from .lists import VirtualDiscovery
 from .network import Host
-from .scenario import ENGINE_FAULTS, FaultPlan, RequestPlan
+from .scenario import SERVER_FAULTS, FaultPlan, RequestPlan
 
 if TYPE_CHECKING:
     from .engines import VirtualEngine
     from .runner import Router, Simulation
 
-NOTICED_S = 0.8  # after which discovery tells that a machine has gone
-GONE_S = 2.0  # from the notice of an engine's end until its process has ended
-DEPLOY_STEP_S = 0.8
-EMPTY_S = 2.0  # after a drain call nobody idle is held any longer; the platform allows 4 s
-HELD_S = 1.5
+DISCOVERY_DELAY_S = 0.8  # after which discovery tells that a machine has gone
+SHUTDOWN_S = 2.0  # from the notice of an engine's end until its process has ended
+DEPLOY_INTERVAL_S = 0.8
+IDLE_DRAIN_S = 2.0  # after a drain call nobody idle is held any longer; the platform allows 4 s
+MIN_IDLE_S = 1.5
 
 
 async def run_fault(simulation: Simulation, fault: FaultPlan) -> None:
@@ -29,83 +29,83 @@
     simulation.faults[fault.kind] += 1
     what = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
     simulation.record(f"fault {what}")
-    if fault.kind in ENGINE_FAULTS:
-        await engine_fault(simulation, simulation.engines[fault.target], fault)
+    if fault.kind in SERVER_FAULTS:
+        await run_server_fault(simulation, simulation.servers[fault.target], fault)
     elif fault.kind.startswith("list-"):
-        await list_fault(simulation, fault)
+        await run_discovery_fault(simulation, fault)
     elif fault.kind in ("partition", "one-way"):
-        await partition(simulation, fault)
+        await run_partition(simulation, fault)
     elif fault.kind in ("deploy", "slowdown", "surge"):
-        await fleet_fault(simulation, fault)
+        await run_fleet_fault(simulation, fault)
     else:
-        await router_fault(simulation, fault)
+        await run_router_fault(simulation, fault)
     simulation.record(f"fault over {what}")
 
 
-async def engine_fault(simulation: Simulation, engine: VirtualEngine, fault: FaultPlan) -> None:
+async def run_server_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
-            engine.slower(fault.amount)
+            server.slower(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.slower(1.0)
+            server.slower(1.0)
         case "errors":
-            engine.failing(fault.amount)
+            server.failing(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.failing(0.0)
+            server.failing(0.0)
         case "full":
-            engine.full = True
+            server.full = True
             await trio.sleep(fault.for_s)
-            engine.full = False
+            server.full = False
         case "hang":
-            engine.hung = True
+            server.hung = True
             await trio.sleep(fault.for_s)
-            engine.hung = False
+            server.hung = False
         case "pause":
-            engine.pause(trio.current_time() + fault.for_s)
+            server.pause(trio.current_time() + fault.for_s)
             await trio.sleep(fault.for_s)
         case "spoil":
-            engine.spoil, engine.spoils = fault.how, 3
+            server.spoil, server.spoils = fault.how, 3
             await trio.sleep(fault.for_s)
-            engine.spoils = 0
+            server.spoils = 0
         case "refuse":
-            engine.close_port()
+            server.close_port()
             await trio.sleep(fault.for_s)
-            if not engine.over:
-                simulation.nursery.start_soon(engine.serve, simulation.nursery)
+            if not server.over:
+                simulation.nursery.start_soon(server.serve, simulation.nursery)
         case _:
-            await machine_fault(simulation, engine, fault)
+            await run_host_fault(simulation, server, fault)
 
 
-async def machine_fault(simulation: Simulation, engine: VirtualEngine, fault: FaultPlan) -> None:
+async def run_host_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
     """Faults after which another engine follows, and those of the machine's network."""
-    host = engine.host
+    host = server.host
     match fault.kind:
         case "deaf":
             host.deaf = True
             await trio.sleep(fault.for_s)
             host.deaf = False
         case "crash":
-            engine.end()
-            await trio.sleep(NOTICED_S)
-            simulation.discovery.state(engine.uid, "Gone")
+            server.end()
+            await trio.sleep(DISCOVERY_DELAY_S)
+            simulation.discovery.state(server.uid, "Gone")
             await trio.sleep(fault.for_s)
-            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "vanish":
             host.vanish()
-            await trio.sleep(fault.for_s + NOTICED_S)
-            simulation.discovery.state(engine.uid, "Gone")
-            engine.end()
+            await trio.sleep(fault.for_s + DISCOVERY_DELAY_S)
+            simulation.discovery.state(server.uid, "Gone")
+            server.end()
             host.come_back()
-            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "drain":
-            successor = simulation.engine(engine.plan, True)
-            await drain(simulation, engine)
-            simulation.engines[fault.target] = successor
+            successor = simulation.start_server(server.plan, True)
+            await drain_server(simulation, server)
+            simulation.servers[fault.target] = successor
         case "readdress":
-            engine.end()
-            simulation.discovery.state(engine.uid, "Gone")
+            server.end()
+            simulation.discovery.state(server.uid, "Gone")
             await trio.sleep(0)  # its port is free
-            simulation.engines[fault.target] = simulation.engine(engine.plan, True, engine)
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "loss":
             host.loss = fault.amount
             await trio.sleep(fault.for_s)
@@ -118,25 +118,25 @@
             host.rate = float("inf")
 
 
-async def drain(simulation: Simulation, engine: VirtualEngine) -> None:
-    if engine.over:
+async def drain_server(simulation: Simulation, server: VirtualEngine) -> None:
+    if server.over:
         return
-    engine.model.drain()
-    simulation.discovery.state(engine.uid, "Terminating")
-    await trio.sleep(GONE_S)
-    simulation.discovery.state(engine.uid, "Gone")
-    engine.end()
+    server.model.drain()
+    simulation.discovery.state(server.uid, "Terminating")
+    await trio.sleep(SHUTDOWN_S)
+    simulation.discovery.state(server.uid, "Gone")
+    server.end()
 
 
-async def fleet_fault(simulation: Simulation, fault: FaultPlan) -> None:
+async def run_fleet_fault(simulation: Simulation, fault: FaultPlan) -> None:
     match fault.kind:
         case "slowdown":
-            engines = list(simulation.engines)
-            for engine in engines:
-                engine.slower(fault.amount)
+            servers = list(simulation.servers)
+            for server in servers:
+                server.slower(fault.amount)
             await trio.sleep(fault.for_s)
-            for engine in engines:
-                engine.slower(1.0)
+            for server in servers:
+                server.slower(1.0)
         case "surge":
             plans = simulation.scenario.requests
             if plans:
@@ -153,18 +153,18 @@
                             prompt_tokens=like.prompt_tokens,
                             output_tokens=like.output_tokens,
                         )
-                        nursery.start_soon(simulation.ask, f"s{fault.at_s:g}.{k}", plan)
+                        nursery.start_soon(simulation.send_request, f"s{fault.at_s:g}.{k}", plan)
         case "deploy":
-            zone = simulation.engines[fault.target % len(simulation.engines)].plan.zone
+            zone = simulation.servers[fault.target % len(simulation.servers)].plan.zone
             async with trio.open_nursery() as nursery:
-                for k, engine in enumerate(simulation.engines):
-                    if engine.plan.zone == zone and not engine.over:
-                        simulation.engines[k] = simulation.engine(engine.plan, True)
-                        nursery.start_soon(drain, simulation, engine)
-                        await trio.sleep(DEPLOY_STEP_S)
+                for k, server in enumerate(simulation.servers):
+                    if server.plan.zone == zone and not server.over:
+                        simulation.servers[k] = simulation.start_server(server.plan, True)
+                        nursery.start_soon(drain_server, simulation, server)
+                        await trio.sleep(DEPLOY_INTERVAL_S)
 
 
-async def list_fault(simulation: Simulation, fault: FaultPlan) -> None:
+async def run_discovery_fault(simulation: Simulation, fault: FaultPlan) -> None:
     discovery = simulation.discovery
     match fault.kind:
         case "list-late":
@@ -209,7 +209,7 @@
             discovery.down()
 
 
-async def router_fault(simulation: Simulation, fault: FaultPlan) -> None:
+async def run_router_fault(simulation: Simulation, fault: FaultPlan) -> None:
     router = simulation.routers[fault.target]
     match fault.kind:
         case "stop" | "kill":
@@ -221,45 +221,47 @@
             simulation.nursery.start_soon(router.run)
             await trio.sleep(0.01)
         case "sent-away":
-            await sent_away(simulation, router, fault.for_s)
+            await drain_router(simulation, router, fault.for_s)
         case "reload":
-            simulation.broken_config = bool(fault.target % 2)
+            simulation.is_config_broken = bool(fault.target % 2)
             router.system.deliver(signal.SIGHUP)
             await trio.sleep(0.1)
-            simulation.broken_config = False
+            simulation.is_config_broken = False
         case "clock":
             router.system.wall_ahead_s += fault.amount
 
 
-async def sent_away(simulation: Simulation, router: Router, for_s: float) -> None:
+async def drain_router(simulation: Simulation, router: Router, for_s: float) -> None:
     """A drain call, and the call back, unless the process has ended meanwhile."""
-    program, life = router.program, router.life()
+    program, incarnation = router.program, router.incarnation()
     if program is None or router.ended.is_set():
         return
     if not program.operator_commands.drain().startswith("ok"):  # it is told to stop already
         return
     with trio.move_on_after(for_s):
-        await trio.sleep(EMPTY_S)
+        await trio.sleep(IDLE_DRAIN_S)
         while True:
             await trio.sleep(0.1)
-            if router.life() != life or program.lifecycle.stopping:
+            if router.incarnation() != incarnation or program.lifecycle.stopping:
                 return
             now = trio.current_time()
             clients = [c for front in program.fronts.values() for c in front.clients]
-            held = [c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > HELD_S]
+            held = [
+                c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > MIN_IDLE_S
+            ]
             if held:
                 text = f"{router.name} is drained and holds an idle connection: {held[0]!r}"
-                simulation.judge.violation("rest", text, router.name)
-    if router.life() == life and not router.ended.is_set():
+                simulation.checker.report_violation("rest", text, router.name)
+    if router.incarnation() == incarnation and not router.ended.is_set():
         program.operator_commands.resume()
 
 
-async def partition(simulation: Simulation, fault: FaultPlan) -> None:
+async def run_partition(simulation: Simulation, fault: FaultPlan) -> None:
     a = f"r{fault.target}"
     b = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
     if b.startswith("e"):
         k = int(b[1:]) if b[1:].isdigit() else 0
-        b = host_of(simulation, k).name
+        b = server_host(simulation, k).name
     there = [(b, a)] if fault.how == "back" else [(a, b)]
     ways = [(a, b), (b, a)] if fault.kind == "partition" else there
     for way in ways:
@@ -269,5 +271,5 @@
         simulation.network.heal(*way)
 
 
-def host_of(simulation: Simulation, number: int) -> Host:
-    return simulation.engines[number % len(simulation.engines)].host
+def server_host(simulation: Simulation, number: int) -> Host:
+    return simulation.servers[number % len(simulation.servers)].host
--- a/sorreldock/lab/simulation/shrink.py
+++ b/sorreldock/lab/simulation/shrink.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from .runner import run_scenario
-from .scenario import Scenario, WeatherPlan
+from .scenario import NetworkPlan, Scenario
 
-MOST_RUNS = 400
+MAX_RUNS = 400
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
-class Shrunk:
+class ShrinkResult:
     """The smallest scenario that still fails."""
 
     scenario: Scenario
@@ -24,7 +24,7 @@
     runs: int
 
 
-def _without(items: list[T]) -> Iterator[list[T]]:
+def _sublists(items: list[T]) -> Iterator[list[T]]:
     """Lists that lack a part: halves first, then ever smaller parts, down to one (delta debugging)."""
     size = len(items) // 2 or 1
     while size:
@@ -35,7 +35,7 @@
         size //= 2
 
 
-def _smaller(scenario: Scenario) -> Iterator[Scenario]:
+def _smaller_scenarios(scenario: Scenario) -> Iterator[Scenario]:
     def changed(**fields: Any) -> Scenario | None:
         try:
             raw = msgspec.structs.replace(scenario, **fields)
@@ -43,52 +43,58 @@
         except (msgspec.ValidationError, ValueError):
             return None
 
-    made: list[Scenario | None] = []
-    made += [changed(faults=kept) for kept in _without(scenario.faults) if len(kept) < len(scenario.faults)]
-    made += [
-        changed(requests=kept) for kept in _without(scenario.requests) if len(kept) < len(scenario.requests)
+    candidates: list[Scenario | None] = []
+    candidates += [
+        changed(faults=kept) for kept in _sublists(scenario.faults) if len(kept) < len(scenario.faults)
     ]
-    if scenario.weather != WeatherPlan():
-        made.append(changed(weather=WeatherPlan()))
+    candidates += [
+        changed(requests=kept) for kept in _sublists(scenario.requests) if len(kept) < len(scenario.requests)
+    ]
+    if scenario.weather != NetworkPlan():
+        candidates.append(changed(weather=NetworkPlan()))
     if scenario.routers > 1:
         last = scenario.routers - 1
         moved = [msgspec.structs.replace(p, router=min(p.router, last - 1)) for p in scenario.requests]
-        made.append(changed(routers=last, requests=moved))
+        candidates.append(changed(routers=last, requests=moved))
     if len(scenario.engines) > 1:
-        made += [
+        candidates += [
             changed(engines=scenario.engines[:half])
             for half in (len(scenario.engines) // 2, len(scenario.engines) - 1)
         ]
-    for k, plan in enumerate(scenario.requests):
+    for index, plan in enumerate(scenario.requests):
         plain = msgspec.structs.replace(plan, client="usual", body_bytes=0, prefix="")
         if plain != plan and len(scenario.requests) <= 6:
-            made.append(changed(requests=[*scenario.requests[:k], plain, *scenario.requests[k + 1 :]]))
-    for k, fault in enumerate(scenario.faults):
+            candidates.append(
+                changed(requests=[*scenario.requests[:index], plain, *scenario.requests[index + 1 :]])
+            )
+    for index, fault in enumerate(scenario.faults):
         if fault.for_s > 0.2 and len(scenario.faults) <= 4:
             shorter = msgspec.structs.replace(fault, for_s=round(fault.for_s / 2, 3))
-            made.append(changed(faults=[*scenario.faults[:k], shorter, *scenario.faults[k + 1 :]]))
-    yield from (m for m in made if m is not None and m.engines)
+            candidates.append(
+                changed(faults=[*scenario.faults[:index], shorter, *scenario.faults[index + 1 :]])
+            )
+    yield from (m for m in candidates if m is not None and m.engines)
 
 
-def breaks(scenario: Scenario, rule: str) -> bool:
+def breaks_rule(scenario: Scenario, rule: str) -> bool:
     return any(v.rule == rule for v in run_scenario(scenario).violations)
 
 
 def shrink(
-    scenario: Scenario, rule: str, told: Callable[[Scenario, int], None] = lambda scenario, runs: None
-) -> Shrunk:
+    scenario: Scenario, rule: str, on_smaller: Callable[[Scenario, int], None] = lambda scenario, runs: None
+) -> ShrinkResult:
     """Leave out what the violation of `rule` does not need. ValueError if nothing breaks it."""
-    if not breaks(scenario, rule):
+    if not breaks_rule(scenario, rule):
         raise ValueError(f"the scenario does not break {rule!r}")
     runs, found = 1, True
-    while found and runs < MOST_RUNS:
+    while found and runs < MAX_RUNS:
         found = False
-        for smaller in _smaller(scenario):
+        for smaller in _smaller_scenarios(scenario):
             runs += 1
-            if breaks(smaller, rule):
+            if breaks_rule(smaller, rule):
                 scenario, found = smaller, True
-                told(scenario, runs)
+                on_smaller(scenario, runs)
                 break
-            if runs >= MOST_RUNS:
+            if runs >= MAX_RUNS:
                 break
-    return Shrunk(scenario, rule, runs)
+    return ShrinkResult(scenario, rule, runs)
--- a/sorreldock/program/simulation_commands.py
+++ b/sorreldock/program/simulation_commands.py
@@ -69,7 +69,7 @@
     with report_errors("lab"):
         from ..lab.simulation import explore as exploring
         from ..lab.simulation.mutants import MUTANTS, mutated
-        from ..lab.simulation.replay import twice as play_twice
+        from ..lab.simulation.replay import run_twice
         from ..lab.simulation.scenario import draw, dump, load
 
         if (bool(seeds) + (seed is not None) + (scenario is not None)) != 1:
@@ -88,7 +88,7 @@
             write.write_bytes(dump(scenario_to_play))
             return
         if twice:
-            diverged = [pair for pair in map(play_twice, chosen) if pair is not None]
+            diverged = [pair for pair in map(run_twice, chosen) if pair is not None]
             for divergence in diverged:
                 print(f"seed {divergence.seed} diverges at step {divergence.step}:")
                 print(f"    {divergence.first}\n    {divergence.second}")
@@ -107,7 +107,7 @@
             report = exploring.Report()
             started_at = time.monotonic()
             with mutated(mutant):
-                report.results[scenario_to_play.seed] = exploring.explore_here(scenario_to_play)
+                report.results[scenario_to_play.seed] = exploring.explore_scenario(scenario_to_play)
             report.wall_s = time.monotonic() - started_at
         figures = report.figures()
         if shrink is not None and figures["violations"]:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -21,14 +21,14 @@
 from sorreldock.lab.simulation import explore as exploring
 from sorreldock.lab.simulation import scenario as plans
 from sorreldock.lab.simulation.determinism import BehindTheSeam, Guard, seeded, world_clock
-from sorreldock.lab.simulation.invariants import Judge
+from sorreldock.lab.simulation.invariants import InvariantChecker
 from sorreldock.lab.simulation.mutants import MUTANTS, find_all, mutated
 from sorreldock.lab.simulation.network import Network, VirtualSocket, Weather
 from sorreldock.lab.simulation.readers import End, FrameReader, Head, HttpReader, NotReadable, Part
 from sorreldock.lab.simulation.replay import compare
 from sorreldock.lab.simulation.runner import Simulation, run_scenario
 from sorreldock.lab.simulation.scenario import CLIENTS, FAULTS, Scenario, draw, dump, load
-from sorreldock.lab.simulation.shrink import breaks, shrink
+from sorreldock.lab.simulation.shrink import breaks_rule, shrink
 from sorreldock.program import simulation_commands
 from sorreldock.program.serve import Program
 from sorreldock.protocol import front as limits
@@ -189,8 +189,8 @@
     """A client, a router and two engines without a program: the test writes what each would."""
 
     def __init__(self, network: Network) -> None:
-        self.network, self.judge = network, Judge(network)
-        self.judge.list_given("r0", [target("u1", 1), target("u2", 2)], True)
+        self.network, self.judge = network, InvariantChecker(network)
+        self.judge.record_targets("r0", [target("u1", 1), target("u2", 2)], True)
 
     async def open(self) -> None:
         self.client, self.front = await self._pair("c1", "127.0.0.1", "r0", "127.0.0.2", 8080)
@@ -232,7 +232,7 @@
         await wires.open()
         await act(wires)
         await trio.sleep(10.0)
-        wires.judge.conclude()
+        wires.judge.check_at_end()
         rules.extend(v.rule for v in wires.judge.violations)
 
     told(Weather(), story)
@@ -299,19 +299,19 @@
         await w.attempt(0)
 
     async def drained(w: Wires) -> None:
-        w.judge.list_given("r0", [target("u1", 1, "Terminating")], False)
+        w.judge.record_targets("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.2)
         await w.attempt(0, refused)
         await trio.sleep(0.06)
         await w.attempt(1)
 
     async def after_drain(w: Wires) -> None:
-        w.judge.list_given("r0", [target("u1", 1, "Terminating")], False)
+        w.judge.record_targets("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.26)
         await w.attempt(0)
 
     async def readdressed(w: Wires) -> None:
-        w.judge.list_given("r0", [target("u1", 1, "Gone"), target("u3", 1)], False)
+        w.judge.record_targets("r0", [target("u1", 1, "Gone"), target("u3", 1)], False)
         await trio.sleep(0.26)
         await w.attempt(0)
 
@@ -347,7 +347,11 @@
 
 
 def test_the_same_seed_comes_to_the_same_steps_and_another_one_does_not() -> None:
-    one, again, other = run_scenario(draw(3), keep_trace=True), run_scenario(draw(3), keep_trace=True), run_scenario(draw(4))
+    one, again, other = (
+        run_scenario(draw(3), keep_trace=True),
+        run_scenario(draw(3), keep_trace=True),
+        run_scenario(draw(4)),
+    )
     assert one.trace == again.trace and one.digest == again.digest != other.digest
 
 
@@ -450,11 +454,11 @@
     """A probe that was answered ended the watch over a late attempt: its request waited for its deadline."""
     calls = [plans.RequestPlan(at_s=0.2 + k / 10, router=k % 8, deadline_s=5.0) for k in range(96)]
     lost = [plans.FaultPlan(kind="spoil", how="lost", at_s=8.9, target=k) for k in range(3)]
-    engines, played = [plans.EnginePlan()] * 3, list[Simulation]()
+    engines, played = [plans.ServerPlan()] * 3, list[Simulation]()
     scenario = Scenario(seed=61, routers=8, probes=True, engines=engines, requests=calls, faults=lost)
-    result = run_scenario(scenario, before=played.append)
+    result = run_scenario(scenario, on_start=played.append)
     assert not result.violations and result.attempts > 100
-    assert all(rpc.served for rpc in played[0].judge.rpcs)
+    assert all(rpc.is_served for rpc in played[0].checker.rpcs)
 
 
 def test_each_mutant_is_found_and_not_the_router() -> None:
@@ -468,7 +472,7 @@
         made = shrink(draw(0), "overlap")
         path = tmp_path / "small.toml"
         path.write_bytes(dump(made.scenario))
-        assert load(path) == made.scenario and breaks(load(path), "overlap")
+        assert load(path) == made.scenario and breaks_rule(load(path), "overlap")
     assert len(made.scenario.requests) == 1 and not made.scenario.faults and made.scenario.routers == 1
     with pytest.raises(ValueError, match="does not break"):
         shrink(made.scenario, "overlap")
@@ -493,12 +497,12 @@
 def play_without_rest(scenario: Scenario) -> list[object]:
     from sorreldock.lab.simulation.runner import Simulation
 
-    was = Simulation._rest
-    Simulation._rest = lambda self: trio.sleep(1.0)  # type: ignore[method-assign,assignment]
+    was = Simulation._check_idle
+    Simulation._check_idle = lambda self: trio.sleep(1.0)  # type: ignore[method-assign,assignment]
     try:
         return list(run_scenario(scenario).violations)
     finally:
-        Simulation._rest = was  # type: ignore[method-assign]
+        Simulation._check_idle = was  # type: ignore[method-assign]
 
 
 def dies_at_three(pipe: Connection, mutant: str) -> None:
@@ -509,11 +513,11 @@
                 pipe.send(seed)
                 if seed == 3:
                     os._exit(7)
-                pipe.send(exploring.Explored(seed, "", 1, 1, 0.0, [], {}))
+                pipe.send(exploring.ScenarioResult(seed, "", 1, 1, 0.0, [], {}))
 
 
 def test_a_process_that_dies_costs_its_seed_and_no_other() -> None:
-    figures = exploring.explore(range(12), 2, work=dies_at_three).figures()
+    figures = exploring.explore(range(12), 2, worker_main=dies_at_three).figures()
     assert figures["scenarios"] == 12
     [violation] = figures["violations"]
     assert violation["seed"] == 3 and violation["rule"] == "fault" and "status 7" in violation["text"]
