--- a/sorreldock/lab/simulation/invariants.py
+++ b/sorreldock/lab/simulation/invariants.py
@@ -1,9 +1,9 @@
 """Rules that hold in every simulation, checked on the network traffic alone.
 
-The checks use nothing of the router's own state. They observe four kinds of traffic: requests as they arrive at a
-router and answers as the router writes them; attempts, as of the moment when the router writes their last byte;
-answers of servers, as they arrive and as the router reads them; and the target list, as discovery's lines arrive.
-A request's deadline runs from the arrival of its last byte. All times are virtual.
+The checks use nothing of the router's own state. They observe four kinds of traffic: requests as they arrive
+at a router, and answers as the router writes them; attempts as the router writes their last byte, and the
+servers' answers as they arrive and are read; and the target list as discovery's lines arrive. A request's
+deadline runs from the arrival of its last byte. All times are virtual.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 DRAIN_GRACE_S = 0.25
 MAX_FORWARDING_DELAY_S = 0.002
 TIME_TOLERANCE_S = 1e-6
-# The router may end the stream of a server that has been silent for the first duration, and must do so after the
-# second one.
+# The router may end the stream of a server that has been silent for the first duration, and must end it after
+# the second.
 MIN_SERVER_SILENCE_S, MAX_STALL_S = 0.9, 5.0
 ACCEPTING_AFTER_STOP_S = 0.5
 # A request that arrives this shortly before a stopping router stops accepting may be refused.
@@ -283,7 +283,7 @@
             self._check_forwarding_delay(rpc, source)
 
     def _was_ended_by_router(self, rpc: Rpc, source: Attempt) -> bool:
-        """Return whether the router ended a stream although its server was sending and its client connected."""
+        """Return whether the router ended a stream while its server was sending and its client connected."""
         tap, ended_at = rpc.tap, source.ended_at
         if (
             ended_at is None
--- a/sorreldock/lab/simulation/observers.py
+++ b/sorreldock/lab/simulation/observers.py
@@ -1,4 +1,4 @@
-"""Taps: what the oracles see of a connection, from its bytes as they are written, arrive and are read."""
+"""Taps, which observe connections for the invariants: bytes as they are written, arrive and are read."""
 
 from __future__ import annotations
 
@@ -15,28 +15,34 @@
 from .readers import DATA, HEADERS, RESET, End, Frame, FrameReader, Head, HttpReader, NotReadable, Part
 
 
-def attach_tap(checker: InvariantChecker, dialling: VirtualSocket, taking: VirtualSocket) -> None:
-    """Listen to a new connection, as its machines' names ask."""
-    src, dst = dialling.host.name, taking.host.name
-    assert dialling.outbox is not None and dialling.inbox is not None
+def attach_tap(checker: InvariantChecker, client_socket: VirtualSocket, server_socket: VirtualSocket) -> None:
+    """Observe a new connection with the tap that its hosts' names call for; others are not observed."""
+    src, dst = client_socket.host.name, server_socket.host.name
+    assert client_socket.outbox is not None and client_socket.inbox is not None
     if dst.startswith("r"):
-        kind = HttpFrontTap if taking.name[1] == 8080 else H2FrontTap
-        kind(checker, dst, dialling.outbox, dialling.inbox)
+        tap_class = HttpFrontTap if server_socket.name[1] == 8080 else H2FrontTap
+        tap_class(checker, dst, client_socket.outbox, client_socket.inbox)
     elif src.startswith("r") and dst.startswith("e"):
-        ServerTap(checker, src, f"{taking.name[0]}:{taking.name[1]}", dialling.outbox, dialling.inbox)
+        ServerTap(
+            checker,
+            src,
+            f"{server_socket.name[0]}:{server_socket.name[1]}",
+            client_socket.outbox,
+            client_socket.inbox,
+        )
     elif src.startswith("r") and dst.startswith("d"):
-        DiscoveryTap(checker, src, dialling.inbox)
+        DiscoveryTap(checker, src, client_socket.inbox)
 
 
 class FrontTap:
-    """A client's connection to a router."""
+    """A tap on a client's connection to a router."""
 
     def __init__(self, checker: InvariantChecker, router: str, inbound: Pipe, outbound: Pipe) -> None:
         self.checker, self.router, self.inbound, self.outbound = checker, router, inbound, outbound
         self.incarnation = (router, checker.incarnations.get(router, 0))
         self.client_left_at: float | None = None
         self.router_closed_at: float | None = None
-        self.is_invalid = False  # the client writes what is no request
+        self.is_invalid = False  # the client has sent something that is not a request
         self.stream_reset_at: dict[str, float] = {}
         inbound.on_arrive, outbound.on_write, outbound.on_closed = (
             self._on_arrive,
@@ -66,13 +72,15 @@
             self.checker.report_violation("unchanged", f"a malformed answer: {error}", self.outbound.name)
 
     def read_requests(self, data: bytes) -> None:
+        """Parse bytes that have arrived from the client, and record complete requests."""
         raise NotImplementedError
 
     def read_answers(self, data: bytes) -> None:
+        """Parse bytes that the router has written to the client, and record them with their requests."""
         raise NotImplementedError
 
     def was_refused(self, rpc: Rpc) -> bool:
-        """Whether the protocol itself said that the request was not taken."""
+        """Return whether the router refused the request by means of the protocol, without an answer."""
         return False
 
     def _add_rpc(self, rpc: Rpc) -> Rpc:
@@ -82,14 +90,11 @@
 
 
 class HttpFrontTap(FrontTap):
-    """Watches one client connection of the HTTP/1.1 front."""
+    """A tap on a client connection of the HTTP/1.1 front."""
 
     def __init__(self, checker: InvariantChecker, router: str, inbound: Pipe, outbound: Pipe) -> None:
         super().__init__(checker, router, inbound, outbound)
-        self._request_reader, self._answer_reader = (
-            HttpReader(answers=False),
-            HttpReader(answers=True),
-        )
+        self._request_reader, self._answer_reader = (HttpReader(answers=False), HttpReader(answers=True))
         self._head: Head | None = None
         self._open_rpc: Rpc | None = None
         self._request_count = 0
@@ -109,8 +114,8 @@
         if path != SERVED_PATH or not key or not expires.endswith(b"u"):
             self.is_invalid = True
             return
-        seconds = int(expires[:-1]) * 1e-6
-        rpc = Rpc(key, self, trio.current_time(), seconds, end, self._request_count == 0)
+        timeout_s = int(expires[:-1]) * 1e-6
+        rpc = Rpc(key, self, trio.current_time(), timeout_s, end, self._request_count == 0)
         self._request_count += 1
         if self._open_rpc is not None and self._open_rpc.final_at is None:  # sent before the answer had ended
             rpc.is_checked = False
@@ -138,7 +143,7 @@
 
 
 class H2FrontTap(FrontTap):
-    """Watches one client connection of the gRPC front."""
+    """A tap on a client connection of the gRPC front."""
 
     def __init__(self, checker: InvariantChecker, router: str, inbound: Pipe, outbound: Pipe) -> None:
         super().__init__(checker, router, inbound, outbound)
@@ -169,8 +174,8 @@
             return
         key = request_id_of(message) or fields.get("sorreldock-request-id", "")
         now = trio.current_time()
-        left = parse_timeout(fields.get("grpc-timeout", "10S"))
-        rpc = Rpc(key, self, now, left, end, not self._open_rpcs, is_checked=bool(key))
+        timeout_s = parse_timeout(fields.get("grpc-timeout", "10S"))
+        rpc = Rpc(key, self, now, timeout_s, end, not self._open_rpcs, is_checked=bool(key))
         self._open_rpcs[stream] = self._add_rpc(rpc)
 
     def read_answers(self, data: bytes) -> None:
@@ -203,7 +208,7 @@
 
 
 class ServerTap:
-    """A router's connection to an engine."""
+    """A tap on a router's connection to a server."""
 
     def __init__(
         self, checker: InvariantChecker, router: str, endpoint: str, outbound: Pipe, inbound: Pipe
@@ -215,8 +220,8 @@
             outbound,
             inbound,
         )
-        self._http: tuple[HttpReader, HttpReader] | None = None
-        self._h2: tuple[FrameReader, FrameReader] | None = None
+        self._http_readers: tuple[HttpReader, HttpReader] | None = None
+        self._h2_readers: tuple[FrameReader, FrameReader] | None = None
         self._key, self._head = "", Head(b"", {}, 0)
         self._streams: dict[int, Attempt] = {}
         self._messages: dict[int, bytearray] = {}
@@ -232,7 +237,7 @@
         inbound.on_end.append(self._on_end)
 
     def _on_end(self, how: str) -> None:
-        if self.inbound.dropped:  # what the router can't have read, it can't pass on
+        if self.inbound.dropped:  # the router can't forward what it can't have read
             for attempt in [
                 *self._streams.values(),
                 *([self._current_attempt] if self._current_attempt else []),
@@ -243,7 +248,7 @@
         for attempt in [*self._streams.values(), *([self._current_attempt] if self._current_attempt else [])]:
             if attempt.ended_at is None:
                 attempt.closed_by_router = not (self.inbound.fin or self.inbound.reset)
-                if self._http is not None:
+                if self._http_readers is not None:
                     is_valid = all(is_event_stream(part) for part, _ in attempt.parts)
                 else:
                     is_valid = is_grpc_framing(attempt.data(), is_complete=False)
@@ -255,26 +260,26 @@
             mark_ended(attempt)
 
     def _on_write(self, data: bytes) -> None:
-        if self._http is None and self._h2 is None:
+        if self._http_readers is None and self._h2_readers is None:
             data = self._first_bytes + data
-            if data == b"P":  # of POST, or of the preface
+            if data == b"P":  # the first byte of POST, or of the HTTP/2 preface
                 self._first_bytes = data
                 return
             if data.startswith(b"PR"):
-                self._h2 = FrameReader(preface=True), FrameReader(preface=False)
+                self._h2_readers = FrameReader(preface=True), FrameReader(preface=False)
             else:
-                self._http = HttpReader(answers=False), HttpReader(answers=True)
+                self._http_readers = HttpReader(answers=False), HttpReader(answers=True)
         try:
-            if self._http is not None:
-                self._http_request(self._http[0], data)
-            elif self._h2 is not None:
-                self._h2_request(self._h2[0], data)
+            if self._http_readers is not None:
+                self._read_http_request(self._http_readers[0], data)
+            elif self._h2_readers is not None:
+                self._read_h2_request(self._h2_readers[0], data)
         except NotReadable as error:
             self.checker.report_violation(
                 "unchanged", f"a malformed request to an engine: {error}", self.outbound.name
             )
 
-    def _http_request(self, reader: HttpReader, data: bytes) -> None:
+    def _read_http_request(self, reader: HttpReader, data: bytes) -> None:
         for item in reader.feed(data):
             if isinstance(item, Head):
                 self._head = item
@@ -285,11 +290,11 @@
     def _record_attempt(self, key: str) -> Attempt:
         return self.checker.record_attempt(key, self.router, self.endpoint, self.outbound.name)
 
-    def _h2_request(self, reader: FrameReader, data: bytes) -> None:
+    def _read_h2_request(self, reader: FrameReader, data: bytes) -> None:
         for frame in reader.feed(data):
             if frame.kind == HEADERS:
-                infer = reader.fields(frame).get(":path", "").endswith("Infer")
-                if infer:
+                is_infer = reader.fields(frame).get(":path", "").endswith("Infer")
+                if is_infer:
                     self._messages[frame.stream] = bytearray()
             elif frame.kind == DATA and frame.stream in self._messages:
                 self._messages[frame.stream] += frame.data()
@@ -303,15 +308,15 @@
         if self._is_unreadable:
             return
         try:
-            if self._http is not None:
-                self._http_answer(self._http[1], data)
-            elif self._h2 is not None:
-                for frame in self._h2[1].feed(data):
-                    self._h2_answer(self._h2[1], frame)
+            if self._http_readers is not None:
+                self._read_http_answer(self._http_readers[1], data)
+            elif self._h2_readers is not None:
+                for frame in self._h2_readers[1].feed(data):
+                    self._read_h2_answer(self._h2_readers[1], frame)
         except NotReadable:
-            self._is_unreadable = True  # an engine may write anything; the router breaks such a stream off
+            self._is_unreadable = True  # a server may send anything; the router aborts such a stream
 
-    def _http_answer(self, reader: HttpReader, data: bytes) -> None:
+    def _read_http_answer(self, reader: HttpReader, data: bytes) -> None:
         now = trio.current_time()
         for item in reader.feed(data):
             attempt = self._current_attempt
@@ -329,7 +334,7 @@
                 attempt.end_offset = item.end
                 self.inbound.when_read(item.end, end_marker(attempt))
 
-    def _h2_answer(self, reader: FrameReader, frame: Frame) -> None:
+    def _read_h2_answer(self, reader: FrameReader, frame: Frame) -> None:
         fields = reader.fields(frame) if frame.kind == HEADERS else {}
         attempt = self._streams.get(frame.stream)
         if attempt is None or attempt.is_complete:
@@ -346,7 +351,7 @@
 
 
 def is_grpc_framing(data: bytes, is_complete: bool) -> bool:
-    """Whether this is gRPC's framing, uncompressed, and at its end if it should be."""
+    """Return whether data are uncompressed gRPC messages; `is_complete`: the last one has to be complete."""
     while len(data) >= 5:
         if data[0]:
             return False
@@ -358,6 +363,7 @@
 
 
 def is_event_stream(part: bytes) -> bool:
+    """Return whether a part of a body has only data, comment and empty lines."""
     return all(line[:5] in (b"data:", b"") or line[:1] == b":" for line in part.split(b"\n"))
 
 
@@ -371,7 +377,7 @@
 
 
 def request_id_of(message: bytes) -> str:
-    """The id within a framed ModelInferRequest."""
+    """Return the id in a framed ModelInferRequest, or an empty string if it can't be decoded."""
     try:
         return pb.ModelInferRequest.FromString(message[5:]).id
     except DecodeError:
@@ -379,7 +385,7 @@
 
 
 class DiscoveryTap:
-    """A router's watch on discovery."""
+    """A tap on a router's watch of the target list."""
 
     def __init__(self, checker: InvariantChecker, router: str, inbound: Pipe) -> None:
         self.checker, self.router = checker, router
@@ -394,20 +400,21 @@
         try:
             for item in self._reader.feed(data):
                 if isinstance(item, Part):
-                    *lines, self._partial_line = (self._partial_line + item.data).split(b"\n")
-                    for line in filter(bytes.strip, lines):
+                    *complete_lines, self._partial_line = (self._partial_line + item.data).split(b"\n")
+                    for line in filter(bytes.strip, complete_lines):
                         self._handle_line(line)
         except NotReadable:
             self._is_unreadable = True
 
     def _handle_line(self, line: bytes) -> None:
         try:
-            raw = json.loads(line)
-            int(raw["rev"])
+            update = json.loads(line)
+            int(update["rev"])
             targets = [
-                {name: str(entry[name]) for name in ("uid", "endpoint", "state")} for entry in raw["targets"]
+                {name: str(entry[name]) for name in ("uid", "endpoint", "state")}
+                for entry in update["targets"]
             ]
         except (ValueError, LookupError, TypeError):
-            self._is_unreadable = True  # the router drops such a watch, and asks anew
+            self._is_unreadable = True  # the router closes such a watch and opens a new one
             return
-        self.checker.record_targets(self.router, targets, bool(raw.get("all")))
+        self.checker.record_targets(self.router, targets, bool(update.get("all")))
