--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -1,4 +1,4 @@
-"""One scenario, played to its end: the router's own program on the world's machines."""
+"""The simulation of one scenario: the router's own program on virtual hosts."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 from .system import EPOCH, VirtualSystem
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
-DRAINED_S = 3.0  # a drained engine goes so long after its notice
-MAX_RUN_S = 300.0  # virtual: a world that has not come to rest by then never does
+DRAINED_S = 3.0  # time between the announcement and the exit of a server that drains
+MAX_RUN_S = 300.0  # virtual time after which a simulation that has not come to rest is ended
 MAX_STOP_S = 75.0
 MAX_LAST_STEPS = 12
-# What the program logs of its own faults, and of rules that it has seen itself break.
+# Marks of log lines with which the program reports its own faults, and rules that it has seen itself violate.
 FAULT_LOG_MARKS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the engine client")
 
 
 @dataclass
 class Result:
-    """What a scenario came to. `digest` is of its whole trace."""
+    """The result of a scenario; `digest` covers its whole trace."""
 
     seed: int
     digest: str
@@ -54,19 +54,19 @@
     trace: list[str] = field(default_factory=list)
 
     def last_steps(self, violation: Violation) -> list[str]:
-        """The last events on the wires concerned, and what happened to machines, up to the violation."""
+        """Return the last trace lines before a violation that concern its connections, or faults."""
         names = violation.pipes
-        chosen: deque[str] = deque(maxlen=MAX_LAST_STEPS)
+        last_lines: deque[str] = deque(maxlen=MAX_LAST_STEPS)
         for line in self.trace:
             if float(line.split(" ", 1)[0]) > violation.at_s + 1e-6:
                 break
             if not names or any(name in line for name in names) or "fault " in line:
-                chosen.append(line)
-        return list(chosen)
+                last_lines.append(line)
+        return list(last_lines)
 
 
 class Router:
-    """A router's process, its ends and its starts."""
+    """A router process, which may be stopped or killed and started again."""
 
     def __init__(self, simulation: Simulation, index: int) -> None:
         self.simulation, self.index, self.name = simulation, index, f"r{index}"
@@ -79,8 +79,8 @@
 
     def config(self) -> Config:
         simulation, scenario = self.simulation, self.simulation.scenario
-        known = self.discovery.directory.whole(trio.current_time())
-        simulation.checker.record_targets(self.name, known["targets"], True)
+        published = self.discovery.directory.whole(trio.current_time())
+        simulation.checker.record_targets(self.name, published["targets"], True)
         settings = decode_settings(simulation.settings(self.index))
         kserve = Kserve(f"{self.host.address}:{GRPC_PORT}", ("desc",), "alt-text", "acme", 5.0)
         return Config(
@@ -90,12 +90,13 @@
             scenario.seed * 16 + self.index,
             scenario.sockets,
             settings,
-            decode_result(known, ListKind.CACHED),
+            decode_result(published, ListKind.CACHED),
             Operator(kserve=kserve, server_protocols=("http", "kserve")),
             scenario.memory_mb,
         )
 
     def reread_config(self) -> Config:
+        """Return the configuration after a SIGHUP; ValueError while a fault makes it unreadable."""
         program = self.program
         assert program is not None
         if self.simulation.is_config_broken:
@@ -104,7 +105,7 @@
         return replace(program.config, discovery=address, discovery_in_file=address)
 
     async def run(self) -> None:
-        """One life of the process."""
+        """Run the process from its start to its end."""
         checker = self.simulation.checker
         checker.incarnations[self.name] = checker.incarnations.get(self.name, 0) + 1
         self.ended = trio.Event()
@@ -113,7 +114,7 @@
             with trio.CancelScope() as self.scope:
                 await self.program.run()
         except Exception as error:
-            if self.incarnation() in checker.killed_at:  # its sockets went before its tasks did
+            if self.incarnation() in checker.killed_at:  # its sockets were closed before its tasks ended
                 return
             checker.report_violation("fault", f"{self.name} failed: {describe_error(error)}", self.name)
         finally:
@@ -122,6 +123,7 @@
             self.ended.set()
 
     def incarnation(self) -> tuple[str, int]:
+        """Return the key of the current process: the router's name and the number of its starts."""
         return self.name, self.simulation.checker.incarnations.get(self.name, 0)
 
     def stop(self) -> None:
@@ -136,19 +138,22 @@
 
 
 def describe_error(error: BaseException) -> str:
+    """Return the first exception of a group, with the place where it was raised, as a text."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
-    at = error.__traceback__
-    while at is not None and at.tb_next is not None:
-        at = at.tb_next
-    where = (
-        f" at {at.tb_frame.f_code.co_filename.rpartition('/')[2]}:{at.tb_lineno}" if at is not None else ""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    location = (
+        f" at {traceback.tb_frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}"
+        if traceback is not None
+        else ""
     )
-    return f"{type(error).__name__}: {error}{where}"
+    return f"{type(error).__name__}: {error}{location}"
 
 
 class Simulation:
-    """One run of a scenario: its hosts, peers and routers."""
+    """One run of a scenario: its hosts, servers, clients, discovery and routers."""
 
     def __init__(self, scenario: Scenario, keep_trace: bool = False) -> None:
         self.scenario = scenario
@@ -156,15 +161,15 @@
         self._hash = hashlib.blake2b(digest_size=16)
         self.trace: list[str] = []
         self.keep_trace = keep_trace
-        plan = scenario.weather
+        network_plan = scenario.weather
         weather = Weather(
-            plan.delay_ms / 1000,
-            plan.jitter_ms / 1000,
+            network_plan.delay_ms / 1000,
+            network_plan.jitter_ms / 1000,
             math.inf,
-            plan.loss,
-            plan.pieces,
-            plan.buffer,
-            plan.reset_drops,
+            network_plan.loss,
+            network_plan.pieces,
+            network_plan.buffer,
+            network_plan.reset_drops,
         )
         self.network = Network(self.rng, weather, self.record)
         self.checker = InvariantChecker(self.network)
@@ -179,6 +184,7 @@
         self.library = Library(self)
 
     def record(self, line: str) -> None:
+        """Add a step to the trace, and report a log line about a fault of the program as a violation."""
         text = f"{trio.current_time():.9f} {line}"
         self._hash.update(text.encode())
         self._hash.update(b"\n")
@@ -199,8 +205,8 @@
             "discovery": "ask",
             "tick_s": 0.002,
             "categories": [
-                {"name": n, "aim_s": aim, "deadline_s": deadline, "points": worth, "stream": True}
-                for n, aim, deadline, worth in REQUEST_CLASSES
+                {"name": name, "aim_s": aim_s, "deadline_s": deadline_s, "points": points, "stream": True}
+                for name, aim_s, deadline_s, points in REQUEST_CLASSES
             ],
             "policy_limits": {
                 "max_attempts": 6 if self.scenario.probes else 2,
@@ -224,13 +230,13 @@
         }
 
     def zones(self) -> list[str]:
-        return [f"z{k}" for k in range(max(p.zone for p in self.scenario.engines) + 1)]
+        return [f"z{index}" for index in range(max(p.zone for p in self.scenario.engines) + 1)]
 
     def start_server(
-        self, plan: ServerPlan, cold: bool, host_of: VirtualEngine | None = None
+        self, plan: ServerPlan, cold: bool, replaced: VirtualEngine | None = None
     ) -> VirtualEngine:
-        """Start an engine, on a machine of its own or in another's place, and publish it."""
-        now, number = trio.current_time(), self.target_count
+        """Start a server, on a host of its own or on that of a replaced server, and publish it."""
+        now, index = trio.current_time(), self.target_count
         self.target_count += 1
         settings = EngineSettings(
             batch=plan.batch,
@@ -243,53 +249,54 @@
             fall_multiple=FALL_MULTIPLE,
             fall_window_s=FALL_WINDOW_S,
         )
-        if host_of is not None:
-            host = host_of.host
+        if replaced is not None:
+            host = replaced.host
         else:
-            host = self.network.host(f"e{number}", f"127.0.2.{number + 1}")
-        started = now if cold else now - 3600.0
-        made = VirtualEngine(self.checker, host, f"u{number}", settings, started)
-        made.plan = plan
-        self.nursery.start_soon(made.serve, self.nursery)
+            host = self.network.host(f"e{index}", f"127.0.2.{index + 1}")
+        started_at = now if cold else now - 3600.0
+        server = VirtualEngine(self.checker, host, f"u{index}", settings, started_at)
+        server.plan = plan
+        self.nursery.start_soon(server.serve, self.nursery)
         entry = Entry(
-            made.uid,
-            made.endpoint,
+            server.uid,
+            server.endpoint,
             self.zones()[plan.zone],
             "gpu",
-            number // 2,
-            boot_ms=int((EPOCH + started) * 1000),
+            index // 2,
+            boot_ms=int((EPOCH + started_at) * 1000),
         )
         self.discovery.publish(entry)
-        return made
+        return server
 
     # A run.
 
     async def run(self) -> None:
-        with trio.move_on_after(MAX_RUN_S) as limit:
+        """Run the scenario, then check the rules that concern the whole run."""
+        with trio.move_on_after(MAX_RUN_S) as scope:
             async with trio.open_nursery() as self.nursery:
                 await self._run_phases()
                 self.nursery.cancel_scope.cancel()
-        if limit.cancelled_caught:
+        if scope.cancelled_caught:
             self.checker.report_violation("rest", f"the world has not come to rest in {MAX_RUN_S:g} s")
         self.checker.check_at_end()
         self.record("end")
 
     async def _run_phases(self) -> None:
-        from .script import run_fault  # the faults know the world, and the world what they need of it
+        from .script import run_fault  # a cycle: script imports this module for its types
 
         scenario, nursery = self.scenario, self.nursery
         nursery.start_soon(self.discovery.serve, nursery)
         self.servers = [self.start_server(plan, plan.cold) for plan in scenario.engines]
-        self.routers = [Router(self, k) for k in range(scenario.routers)]
-        async with trio.open_nursery() as acts:
+        self.routers = [Router(self, index) for index in range(scenario.routers)]
+        async with trio.open_nursery() as workload:
             for router in self.routers:
                 nursery.start_soon(router.run)
             await trio.sleep(0.01)
             self.library.open(nursery)
-            for k, plan in enumerate(scenario.requests):
-                acts.start_soon(self.send_request, f"q{k}", plan)
+            for index, plan in enumerate(scenario.requests):
+                workload.start_soon(self.send_request, f"q{index}", plan)
             for fault in scenario.faults:
-                acts.start_soon(run_fault, self, fault)
+                workload.start_soon(run_fault, self, fault)
         await self._check_idle()
         await self._stop_routers()
 
@@ -299,38 +306,38 @@
         if plan.client == "library":
             await self.library.send_request(plan)
             return
-        machine = self.client_hosts.get(plan.machine)
-        if machine is None:
+        client_host = self.client_hosts.get(plan.machine)
+        if client_host is None:
             host = self.network.host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
-            machine = self.client_hosts[plan.machine] = Machine(
+            client_host = self.client_hosts[plan.machine] = Machine(
                 host, rng=random.Random(f"{self.scenario.seed} {host.name}")
             )
-        await machine.ask(key, plan, address, self.nursery)
+        await client_host.ask(key, plan, address, self.nursery)
 
     async def _check_idle(self) -> None:
-        """All clients have what they came for: what the routers hold must be back to nothing."""
+        """Close the clients, wait until all requests are over, and check that nothing is left in routers."""
         await self.library.close()
-        for machine in self.client_hosts.values():
-            machine.close()
+        for client_host in self.client_hosts.values():
+            client_host.close()
         await trio.sleep(max(deadline for _, _, deadline, _ in REQUEST_CLASSES) + 0.6)
         for router in self.routers:
             program = router.program
             if program is None or router.ended.is_set():
                 continue
             core, gateway = program.core, program.core._gateway
-            left = {
+            leftovers = {
                 "open RPCs": core.open_rpcs,
                 "names": core._names,
                 "requests in the module": gateway.requests,
                 "held in the module": gateway.awaiting_probe,
-                "timers": [what for what in core._timers if what != "ask"],
+                "timers": [timer for timer in core._timers if timer != "ask"],
                 "attempts of engines": [s for s in core.subchannels.values() if s._in_flight],
                 "busy replicas": [r for r in gateway.replicas.values() if r.open_attempts],
             }
-            for what, held in left.items():
-                if held:
+            for description, items in leftovers.items():
+                if items:
                     self.checker.report_violation(
-                        "leak", f"{router.name} holds {len(held)} {what}", router.name
+                        "leak", f"{router.name} holds {len(items)} {description}", router.name
                     )
             if program.payloads.used:
                 self.checker.report_violation(
@@ -366,7 +373,10 @@
 def run_scenario(
     scenario: Scenario, keep_trace: bool = False, on_start: Callable[[Simulation], None] | None = None
 ) -> Result:
-    """Play it; the same scenario comes to the same result everywhere."""
+    """Run a scenario; the same one has the same result in every process and on every machine.
+
+    `on_start` is called with the simulation before it starts.
+    """
     simulation = Simulation(scenario, keep_trace)
     passes = Passes(
         lambda: simulation.checker.report_violation("rest", "the world stands still and does not rest")
