--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -1,4 +1,4 @@
-"""The client library on the world's sockets."""
+"""The client library on virtual sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class VirtualClientSocket(Socket):
-    """The library's socket, on one of the world's."""
+    """The library's socket interface on a virtual socket."""
 
     def __init__(self, sock: VirtualSocket) -> None:
         self._virtual = sock
@@ -58,8 +58,8 @@
         self.closed = True
 
 
-class Library:
-    """One client of all routers for each protocol, made when a request asks for it."""
+class LibraryClients:
+    """One library client of all routers for each protocol, created for the first request that needs it."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -87,24 +87,26 @@
         return VirtualClientSocket(sock)
 
     async def _client(self, protocol: str) -> Client:
-        made = self._clients.get(protocol)
-        if made is not None:
-            return made
+        client = self._clients.get(protocol)
+        if client is not None:
+            return client
         if self._host is None:
             self._host = self.simulation.network.host("c90", "127.0.4.91")
         port = HTTP_PORT if protocol == "http" else GRPC_PORT
         routers = [f"{router.host.address}:{port}" for router in self.simulation.routers]
         seed = f"{self.simulation.scenario.seed} library {protocol}"
-        made = self._clients[protocol] = Client(
+        client = self._clients[protocol] = Client(
             routers, ClientSettings(name="world"), protocol, rng=random.Random(seed), dial=self._dial
         )
         closed = trio.Event()
         self._closed.append(closed)
         assert self._nursery is not None
-        await self._nursery.start(self._hold, made, closed)
-        return made
+        await self._nursery.start(self._keep_open, client, closed)
+        return client
 
-    async def _hold(self, client: Client, closed: trio.Event, task_status: trio.TaskStatus[None]) -> None:
+    async def _keep_open(
+        self, client: Client, closed: trio.Event, task_status: trio.TaskStatus[None]
+    ) -> None:
         try:
             async with client:
                 task_status.started()
@@ -113,6 +115,7 @@
             closed.set()
 
     async def send_request(self, plan: RequestPlan) -> None:
+        """Send a request through the library and read its answer to the end."""
         client = await self._client(plan.protocol)
         request = Request(
             plan.rpc_class, body_of(plan), "acme", "", plan.prefix, plan.prompt_tokens, 0, plan.output_tokens
@@ -125,6 +128,7 @@
             self.simulation.record(f"library {type(error).__name__} {error.cause}")
 
     async def close(self) -> None:
+        """Close the clients, and wait until they have closed."""
         self._closing.set()
         for closed in self._closed:
             await closed.wait()
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -25,7 +25,7 @@
 from .determinism import Guard, Passes, seeded, world_clock
 from .engines import VirtualEngine
 from .invariants import InvariantChecker, Violation
-from .library import Library
+from .library import LibraryClients
 from .lists import VirtualDiscovery
 from .network import Network, Weather
 from .scenario import REQUEST_CLASSES, RequestPlan, Scenario, ServerPlan
@@ -181,7 +181,7 @@
         self.client_hosts: dict[int, Machine] = {}
         self.nursery: trio.Nursery
         self.routers: list[Router] = []
-        self.library = Library(self)
+        self.library = LibraryClients(self)
 
     def record(self, line: str) -> None:
         """Add a step to the trace, and report a log line about a fault of the program as a violation."""
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -1,4 +1,4 @@
-"""The faults, carried out in a world."""
+"""The faults of a scenario, applied to a simulation."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     from .engines import VirtualEngine
     from .runner import Router, Simulation
 
-DISCOVERY_DELAY_S = 0.8  # after which discovery tells that a machine has gone
-SHUTDOWN_S = 2.0  # from the notice of an engine's end until its process has ended
+DISCOVERY_DELAY_S = 0.8  # until discovery announces that a host has failed
+SHUTDOWN_S = 2.0  # from the announcement that a server will end until its process has ended
 DEPLOY_INTERVAL_S = 0.8
-IDLE_DRAIN_S = 2.0  # after a drain call nobody idle is held any longer; the platform allows 4 s
-MIN_IDLE_S = 1.5
+IDLE_DRAIN_S = 2.0  # after which a drained router holds no idle connections; the platform allows 4 s
+MIN_IDLE_S = 1.5  # for which a connection has had no request, to count as idle
 
 
 async def run_fault(simulation: Simulation, fault: FaultPlan) -> None:
-    """Carry out one fault, from its beginning to its end."""
+    """Start one fault at its time, and return when it has ended."""
     await trio.sleep_until(fault.at_s)
     simulation.faults[fault.kind] += 1
-    what = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
-    simulation.record(f"fault {what}")
+    description = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
+    simulation.record(f"fault {description}")
     if fault.kind in SERVER_FAULTS:
         await run_server_fault(simulation, simulation.servers[fault.target], fault)
     elif fault.kind.startswith("list-"):
@@ -39,7 +39,7 @@
         await run_fleet_fault(simulation, fault)
     else:
         await run_router_fault(simulation, fault)
-    simulation.record(f"fault over {what}")
+    simulation.record(f"fault over {description}")
 
 
 async def run_server_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
@@ -77,7 +77,7 @@
 
 
 async def run_host_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
-    """Faults after which another engine follows, and those of the machine's network."""
+    """Run a fault after which a new server replaces the old one, or a fault of the host's network."""
     host = server.host
     match fault.kind:
         case "deaf":
@@ -104,7 +104,7 @@
         case "readdress":
             server.end()
             simulation.discovery.state(server.uid, "Gone")
-            await trio.sleep(0)  # its port is free
+            await trio.sleep(0)  # lets the port become free
             simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "loss":
             host.loss = fault.amount
@@ -141,25 +141,25 @@
             plans = simulation.scenario.requests
             if plans:
                 async with trio.open_nursery() as nursery:
-                    for k in range(min(int(fault.amount), 100)):
-                        like = plans[k % len(plans)]
+                    for index in range(min(int(fault.amount), 100)):
+                        template = plans[index % len(plans)]
                         plan = RequestPlan(
-                            at_s=fault.at_s + k / max(fault.amount, 1.0),
-                            router=like.router,
-                            protocol=like.protocol,
-                            machine=like.machine,
-                            rpc_class=like.rpc_class,
-                            deadline_s=like.deadline_s,
-                            prompt_tokens=like.prompt_tokens,
-                            output_tokens=like.output_tokens,
+                            at_s=fault.at_s + index / max(fault.amount, 1.0),
+                            router=template.router,
+                            protocol=template.protocol,
+                            machine=template.machine,
+                            rpc_class=template.rpc_class,
+                            deadline_s=template.deadline_s,
+                            prompt_tokens=template.prompt_tokens,
+                            output_tokens=template.output_tokens,
                         )
-                        nursery.start_soon(simulation.send_request, f"s{fault.at_s:g}.{k}", plan)
+                        nursery.start_soon(simulation.send_request, f"s{fault.at_s:g}.{index}", plan)
         case "deploy":
             zone = simulation.servers[fault.target % len(simulation.servers)].plan.zone
             async with trio.open_nursery() as nursery:
-                for k, server in enumerate(simulation.servers):
+                for index, server in enumerate(simulation.servers):
                     if server.plan.zone == zone and not server.over:
-                        simulation.servers[k] = simulation.start_server(server.plan, True)
+                        simulation.servers[index] = simulation.start_server(server.plan, True)
                         nursery.start_soon(drain_server, simulation, server)
                         await trio.sleep(DEPLOY_INTERVAL_S)
 
@@ -185,7 +185,7 @@
         case "list-nonsense":
             lines = (b"{", b"[]", b'{"targets":[{}]}', b'{"rev":"x","targets":[]}', b"\xff\xfe" * 9)
             discovery.nonsense = [
-                lines[(k + fault.target) % len(lines)] for k in range(simulation.scenario.routers)
+                lines[(index + fault.target) % len(lines)] for index in range(simulation.scenario.routers)
             ]
             discovery.wake()
         case "list-silent":
@@ -197,13 +197,15 @@
             if discovery is simulation.discovery:
                 simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-moved":
-            number = len([n for n in simulation.network.hosts if n.startswith("d")])
-            moved = VirtualDiscovery(simulation.network.host(f"d{number}", f"127.0.3.{number + 1}"))
-            moved.directory = discovery.directory
-            simulation.discovery = moved
-            simulation.nursery.start_soon(moved.serve, simulation.nursery)
+            host_count = len([n for n in simulation.network.hosts if n.startswith("d")])
+            new_discovery = VirtualDiscovery(
+                simulation.network.host(f"d{host_count}", f"127.0.3.{host_count + 1}")
+            )
+            new_discovery.directory = discovery.directory
+            simulation.discovery = new_discovery
+            simulation.nursery.start_soon(new_discovery.serve, simulation.nursery)
             for router in simulation.routers:
-                router.discovery = moved
+                router.discovery = new_discovery
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
             discovery.down()
@@ -232,11 +234,11 @@
 
 
 async def drain_router(simulation: Simulation, router: Router, for_s: float) -> None:
-    """A drain call, and the call back, unless the process has ended meanwhile."""
+    """Drain a router with an operator's command, and resume it unless its process has ended meanwhile."""
     program, incarnation = router.program, router.incarnation()
     if program is None or router.ended.is_set():
         return
-    if not program.operator_commands.drain().startswith("ok"):  # it is told to stop already
+    if not program.operator_commands.drain().startswith("ok"):  # it is stopping already
         return
     with trio.move_on_after(for_s):
         await trio.sleep(IDLE_DRAIN_S)
@@ -246,30 +248,32 @@
                 return
             now = trio.current_time()
             clients = [c for front in program.fronts.values() for c in front.clients]
-            held = [
+            idle_clients = [
                 c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > MIN_IDLE_S
             ]
-            if held:
-                text = f"{router.name} is drained and holds an idle connection: {held[0]!r}"
+            if idle_clients:
+                text = f"{router.name} is drained and holds an idle connection: {idle_clients[0]!r}"
                 simulation.checker.report_violation("rest", text, router.name)
     if router.incarnation() == incarnation and not router.ended.is_set():
         program.operator_commands.resume()
 
 
 async def run_partition(simulation: Simulation, fault: FaultPlan) -> None:
-    a = f"r{fault.target}"
-    b = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
-    if b.startswith("e"):
-        k = int(b[1:]) if b[1:].isdigit() else 0
-        b = server_host(simulation, k).name
-    there = [(b, a)] if fault.how == "back" else [(a, b)]
-    ways = [(a, b), (b, a)] if fault.kind == "partition" else there
-    for way in ways:
-        simulation.network.cut(*way)
+    router_name = f"r{fault.target}"
+    peer_name = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
+    if peer_name.startswith("e"):
+        index = int(peer_name[1:]) if peer_name[1:].isdigit() else 0
+        peer_name = server_host(simulation, index).name
+    one_way = [(peer_name, router_name)] if fault.how == "back" else [(router_name, peer_name)]
+    directions = (
+        [(router_name, peer_name), (peer_name, router_name)] if fault.kind == "partition" else one_way
+    )
+    for direction in directions:
+        simulation.network.cut(*direction)
     await trio.sleep(fault.for_s)
-    for way in ways:
-        simulation.network.heal(*way)
+    for direction in directions:
+        simulation.network.heal(*direction)
 
 
-def server_host(simulation: Simulation, number: int) -> Host:
-    return simulation.servers[number % len(simulation.servers)].host
+def server_host(simulation: Simulation, index: int) -> Host:
+    return simulation.servers[index % len(simulation.servers)].host
