--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -546,7 +546,7 @@
         ("seed = 1\n", "engines"),
         ("seed = 1\nengines = [{}]\n[[faults]]\nkind = 'slow'\nat_s = 1\ntarget = 4\n", "no target 4"),
         ("seed = 1\nengines = [{}]\n[[faults]]\nkind = 'rain'\nat_s = 1\n", "kind"),
-        ("seed = 1\nengines = [{}]\n[[faults]]\nkind = 'spoil'\nat_s = 1\nhow = 'x'\n", "no way 'x'"),
+        ("seed = 1\nengines = [{}]\n[[faults]]\nkind = 'spoil'\nat_s = 1\nhow = 'x'\n", "unknown spoil 'x'"),
         ("seed = 1\nengines = [{}]\n[[requests]]\nat_s = 1\nrouter = 2\n", "no router 2"),
         ("seed = 1\nengines = [{}]\nwind = 3\n", "wind"),
     ],
