--- a/sorreldock/lab/simulation/explore.py
+++ b/sorreldock/lab/simulation/explore.py
@@ -1,4 +1,4 @@
-"""Many seeds on many processes: shared out, gathered in order, and a worker's crash told as a violation."""
+"""Exploration of many seeds in several processes; a crash of a worker process becomes a violation."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from .runner import run_scenario
 from .scenario import Scenario, draw
 
-SEEDS_PER_BATCH = 8  # seeds that a worker gets at once
+SEEDS_PER_BATCH = 8  # sent to a worker at a time
 WorkerMain = Callable[[Connection, str], None]
-MAX_SCENARIO_WALL_S = 120.0  # of machine time for one scenario; then its process is ended
+MAX_SCENARIO_WALL_S = 120.0  # of real time for one scenario, after which its process is ended
 MAX_CRASHES = 20
 
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """One scenario's result, as it passes between processes."""
+    """The result of one scenario, as it is sent between processes."""
 
     seed: int
     digest: str
@@ -39,13 +39,13 @@
 
 @dataclass
 class Report:
-    """What many scenarios came to."""
+    """The results of many scenarios."""
 
     wall_s: float = 0.0
     results: dict[int, ScenarioResult] = field(default_factory=dict)
 
     def figures(self) -> dict[str, Any]:
-        """`digest` is of all traces in the order of their seeds, whichever process played them."""
+        """Return the totals; `digest` covers all traces in the order of seeds, not of processes."""
         ordered = [self.results[seed] for seed in sorted(self.results)]
         digest = hashlib.blake2b(digest_size=16)
         faults: Counter[str] = Counter()
@@ -66,7 +66,7 @@
 
 @contextmanager
 def frozen_heap() -> Iterator[None]:
-    """What lives now is not walked in the collections between scenarios."""
+    """Exclude the objects that exist now from the garbage collections between scenarios."""
     gc.collect()
     gc.freeze()
     try:
@@ -76,9 +76,9 @@
 
 
 def explore_scenario(scenario: Scenario) -> ScenarioResult:
-    """Play one, in this process. What broke is told with the last events on the wires concerned."""
+    """Run one scenario in this process; violations come with the last steps on the connections concerned."""
     result = run_scenario(scenario)
-    if result.violations:  # once more, with its trace: it comes to the same
+    if result.violations:  # again, with its trace: the second run is identical
         result = run_scenario(scenario, keep_trace=True)
     violations = [
         {"seed": scenario.seed, "rule": v.rule, "at_s": v.at_s, "text": v.text, "last": result.last_steps(v)}
@@ -96,12 +96,16 @@
 
 
 def crash_result(seed: int, text: str) -> ScenarioResult:
+    """Return the result of a seed whose process has crashed: a violation of the rule `fault`."""
     violation = {"seed": seed, "rule": "fault", "at_s": 0.0, "text": text, "last": []}
     return ScenarioResult(seed, "", 0, 0, 0.0, [violation], {})
 
 
 def _run_worker(pipe: Connection, mutant: str) -> None:
-    """A worker: plays the seeds that come, until the pipe's end."""
+    """Run the scenarios of the seeds that arrive, until the pipe is closed.
+
+    Each seed is sent back before its run, and the result after it, so that a crash is assigned to its seed.
+    """
     from .mutants import mutated
 
     with mutated(mutant), frozen_heap(), suppress(EOFError, KeyboardInterrupt):
@@ -112,8 +116,10 @@
                 try:
                     result = explore_scenario(draw(seed))
                 except Exception as error:
-                    at = traceback.extract_tb(error.__traceback__)[-1]
-                    result = crash_result(seed, f"the world failed: {error!r} at {at.name}:{at.lineno}")
+                    frame = traceback.extract_tb(error.__traceback__)[-1]
+                    result = crash_result(
+                        seed, f"the simulation failed: {error!r} at {frame.name}:{frame.lineno}"
+                    )
                 faulthandler.cancel_dump_traceback_later()
                 pipe.send(result)
                 gc.collect()
@@ -137,7 +143,10 @@
     on_result: Callable[[ScenarioResult], None] = lambda result: None,
     worker_main: WorkerMain = _run_worker,
 ) -> Report:
-    """Play all these seeds; `told` hears of each as it ends, in no order. `work` is what the processes do."""
+    """Run the scenarios of all these seeds; `worker_main` is the function that the processes run.
+
+    `on_result` is called with each result as soon as it is there, in no particular order.
+    """
     report, started_at = Report(), time.monotonic()
     unassigned = deque(seeds)
     scenario_count, crash_count = len(unassigned), 0
@@ -169,13 +178,15 @@
                     )
                     worker.process.join()
                     add_result(
-                        crash_result(crashed_seed, f"the process died with status {worker.process.exitcode}")
+                        crash_result(
+                            crashed_seed, f"the process exited with status {worker.process.exitcode}"
+                        )
                     )
                     unassigned.extendleft(reversed([s for s in worker.pending_seeds if s != crashed_seed]))
                     workers.remove(worker)
                     crash_count += 1
                     if crash_count > MAX_CRASHES:
-                        raise RuntimeError(f"{crash_count} processes died") from None
+                        raise RuntimeError(f"{crash_count} worker processes crashed") from None
                     workers.append(_Worker(mutant, worker_main))
                     send_batch(workers[-1])
                     continue
--- a/sorreldock/lab/simulation/replay.py
+++ b/sorreldock/lab/simulation/replay.py
@@ -1,4 +1,4 @@
-"""Playing a seed twice, in two processes: the first step that differs tells what is not the seed's."""
+"""Comparison of two runs of a seed in two processes, to find what doesn't depend on the seed alone."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from itertools import zip_longest
 
 MAX_RUN_WALL_S = 300.0
-HASH_SEEDS = ("1", "4242")  # PYTHONHASHSEED of the two
+HASH_SEEDS = ("1", "4242")  # PYTHONHASHSEED of the two processes
 
 
 @dataclass(frozen=True, slots=True)
 class Divergence:
-    """Where two runs of a seed part: the step's number from 1, and both lines."""
+    """The first difference of two runs of a seed: the step's number, from 1, and both trace lines."""
 
     seed: int
     step: int
@@ -23,18 +23,19 @@
 
 
 def run_traced(seed: int, hash_seed: str) -> list[str]:
-    """The trace that a process of its own comes to."""
+    """Run a seed in a process of its own, and return its trace."""
     command = [sys.executable, "-m", "sorreldock", "lab", "explore", "--seed", str(seed), "--trace"]
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     completed = subprocess.run(
         command, env=environment, capture_output=True, text=True, timeout=MAX_RUN_WALL_S
     )
     if completed.returncode not in (0, 1):
-        raise RuntimeError(f"seed {seed} could not be played: {completed.stderr.strip()[-200:]}")
+        raise RuntimeError(f"the run of seed {seed} failed: {completed.stderr.strip()[-200:]}")
     return completed.stdout.splitlines()
 
 
 def compare(seed: int, first: list[str], second: list[str]) -> Divergence | None:
+    """Return the first difference of two traces, or None if they are equal."""
     for step, (first_line, second_line) in enumerate(
         zip_longest(first, second, fillvalue="(no such step)"), 1
     ):
@@ -44,6 +45,6 @@
 
 
 def run_twice(seed: int) -> Divergence | None:
-    """None: byte for byte the same."""
+    """Run a seed in two processes with different hash seeds; return None if their traces are equal."""
     first, second = (run_traced(seed, hash_seed) for hash_seed in HASH_SEEDS)
     return compare(seed, first, second)
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Result:
+class RunResult:
     """The result of a scenario; `digest` covers its whole trace."""
 
     seed: int
@@ -372,7 +372,7 @@
 
 def run_scenario(
     scenario: Scenario, keep_trace: bool = False, on_start: Callable[[Simulation], None] | None = None
-) -> Result:
+) -> RunResult:
     """Run a scenario; the same one has the same result in every process and on every machine.
 
     `on_start` is called with the simulation before it starts.
@@ -396,7 +396,7 @@
         trio.run(main, clock=clock, instruments=[passes])
     checker = simulation.checker
     faults = dict(sorted(simulation.faults.items()))
-    return Result(
+    return RunResult(
         scenario.seed,
         simulation._hash.hexdigest(),
         len(checker.rpcs),
--- a/sorreldock/lab/simulation/shrink.py
+++ b/sorreldock/lab/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""From a scenario that breaks a rule to the smallest one found that still does."""
+"""Reduction of a scenario that breaks a rule to a smaller one that still breaks it."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from .scenario import NetworkPlan, Scenario
 
 MAX_RUNS = 400
-T = TypeVar("T")
+Item = TypeVar("Item")
 
 
 @dataclass(frozen=True, slots=True)
 class ShrinkResult:
-    """The smallest scenario that still fails."""
+    """The smallest scenario found that still breaks the rule."""
 
     scenario: Scenario
     rule: str
     runs: int
 
 
-def _sublists(items: list[T]) -> Iterator[list[T]]:
-    """Lists that lack a part: halves first, then ever smaller parts, down to one (delta debugging)."""
+def _sublists(items: list[Item]) -> Iterator[list[Item]]:
+    """Yield copies that lack a part: first halves, then smaller parts, down to one item (delta debugging)."""
     size = len(items) // 2 or 1
     while size:
         for start in range(0, len(items), size):
@@ -36,10 +36,12 @@
 
 
 def _smaller_scenarios(scenario: Scenario) -> Iterator[Scenario]:
+    """Yield valid scenarios that are one reduction smaller than this one."""
+
     def changed(**fields: Any) -> Scenario | None:
         try:
-            raw = msgspec.structs.replace(scenario, **fields)
-            return msgspec.convert(msgspec.to_builtins(raw), Scenario)  # checked as a file would be
+            smaller = msgspec.structs.replace(scenario, **fields)
+            return msgspec.convert(msgspec.to_builtins(smaller), Scenario)  # validated like a file
         except (msgspec.ValidationError, ValueError):
             return None
 
@@ -53,9 +55,11 @@
     if scenario.weather != NetworkPlan():
         candidates.append(changed(weather=NetworkPlan()))
     if scenario.routers > 1:
-        last = scenario.routers - 1
-        moved = [msgspec.structs.replace(p, router=min(p.router, last - 1)) for p in scenario.requests]
-        candidates.append(changed(routers=last, requests=moved))
+        router_count = scenario.routers - 1
+        requests = [
+            msgspec.structs.replace(p, router=min(p.router, router_count - 1)) for p in scenario.requests
+        ]
+        candidates.append(changed(routers=router_count, requests=requests))
     if len(scenario.engines) > 1:
         candidates += [
             changed(engines=scenario.engines[:half])
@@ -73,17 +77,22 @@
             candidates.append(
                 changed(faults=[*scenario.faults[:index], shorter, *scenario.faults[index + 1 :]])
             )
-    yield from (m for m in candidates if m is not None and m.engines)
+    yield from (candidate for candidate in candidates if candidate is not None and candidate.engines)
 
 
 def breaks_rule(scenario: Scenario, rule: str) -> bool:
+    """Run a scenario, and return whether it violates a rule."""
     return any(v.rule == rule for v in run_scenario(scenario).violations)
 
 
 def shrink(
     scenario: Scenario, rule: str, on_smaller: Callable[[Scenario, int], None] = lambda scenario, runs: None
 ) -> ShrinkResult:
-    """Leave out what the violation of `rule` does not need. ValueError if nothing breaks it."""
+    """Remove from a scenario what the violation of `rule` does not need.
+
+    `on_smaller` is called with each smaller scenario and the number of runs so far. Raises ValueError if the
+    scenario does not break the rule.
+    """
     if not breaks_rule(scenario, rule):
         raise ValueError(f"the scenario does not break {rule!r}")
     runs, found = 1, True
