--- a/sorreldock/lab/simulation/mutants.py
+++ b/sorreldock/lab/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Known mistakes, put in from outside the router: the oracles must find each of them."""
+"""Mutants: known faults patched into the router, each of which the invariant checks have to find."""
 
 from __future__ import annotations
 
@@ -32,143 +32,146 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A known mistake, and the rule that it breaks."""
+    """A known fault, and the rule that it breaks."""
 
     text: str
-    rule: str  # that it breaks
+    rule: str  # the broken rule
     patches: Callable[[], list[Patch]]
 
 
 def _second_attempt() -> list[Patch]:
     start = Core._start
 
-    def both(self: Core, request: str, replica: int, timeout_s: float) -> None:
+    def start_twice(self: Core, request: str, replica: int, timeout_s: float) -> None:
         start(self, request, replica, timeout_s)
-        entry = self.open_rpcs.get(request)
-        others = [n for n, s in self.subchannels.items() if s.ready and n != replica]
-        if entry is not None and entry.in_flight == 1 and len(entry.attempts) == 1 and others:
-            entry.in_flight = 0
+        rpc = self.open_rpcs.get(request)
+        others = [
+            other for other, subchannel in self.subchannels.items() if subchannel.ready and other != replica
+        ]
+        if rpc is not None and rpc.in_flight == 1 and len(rpc.attempts) == 1 and others:
+            rpc.in_flight = 0
             start(self, request, others[0], timeout_s)
-            entry.in_flight += 1
+            rpc.in_flight += 1
 
-    return [(Core, "_start", both)]
+    return [(Core, "_start", start_twice)]
 
 
 def _pool_resends() -> list[Patch]:
     call = PooledServerClient.call
 
-    async def again(self: Any, rpc: Any, progress: Any) -> Any:
+    async def call_again(self: Any, rpc: Any, progress: Any) -> Any:
         report = await call(self, rpc, progress)
         if report.status is Status.RESET and not progress.started and rpc.payload is not None:
             return await call(self, rpc, progress)
         return report
 
-    return [(PooledServerClient, "call", again)]
+    return [(PooledServerClient, "call", call_again)]
 
 
 def _sends_after_drain() -> list[Patch]:
     apply_resolver_result = Core.apply_resolver_result
 
-    def ready(self: Core, result: Any) -> None:
+    def keep_ready(self: Core, result: Any) -> None:
         targets = [
-            t if t.state is ReplicaState.GONE else replace(t, state=ReplicaState.READY)
-            for t in result.targets
+            target if target.state is ReplicaState.GONE else replace(target, state=ReplicaState.READY)
+            for target in result.targets
         ]
         apply_resolver_result(self, replace(result, targets=tuple(targets)))
 
-    return [(Core, "apply_resolver_result", ready)]
+    return [(Core, "apply_resolver_result", keep_ready)]
 
 
 def _cold_overrun() -> list[Patch]:
     choose_replica = Gateway.choose_replica
 
-    def coldest(self: Gateway, request: Any) -> Any:
-        cold = [
-            r
-            for r in self.all_zones
-            if self.capacity_share(r) < 1.0 and r not in [a.replica for a in request.attempts]
+    def choose_coldest(self: Gateway, request: Any) -> Any:
+        cold_replicas = [
+            replica
+            for replica in self.all_zones
+            if self.capacity_share(replica) < 1.0
+            and replica not in [attempt.replica for attempt in request.attempts]
         ]
-        return min(cold, key=self.capacity_share) if cold else choose_replica(self, request)
+        return min(cold_replicas, key=self.capacity_share) if cold_replicas else choose_replica(self, request)
 
-    return [(Gateway, "choose_replica", coldest)]
+    return [(Gateway, "choose_replica", choose_coldest)]
 
 
 def _lost_final() -> list[Patch]:
     finish = Core._finish
 
-    def loses(self: Core, entry: Any, final: Any) -> None:
+    def lose_refusals(self: Core, rpc: Any, final: Any) -> None:
         if final.outcome is Outcome.REFUSED:
-            entry.answered = True
+            rpc.answered = True
         else:
-            finish(self, entry, final)
+            finish(self, rpc, final)
 
-    return [(Core, "_finish", loses)]
+    return [(Core, "_finish", lose_refusals)]
 
 
 def _reordered() -> list[Patch]:
-    event = ClientConnection.send_event
-    held: dict[Any, bytes] = {}
+    send_event = ClientConnection.send_event
+    delayed_events: dict[Any, bytes] = {}
 
-    async def swaps(self: ClientConnection, data: bytes) -> None:
-        if self.head_sent and self not in held and b"[DONE]" not in data:
-            held[self] = data
+    async def swap_events(self: ClientConnection, data: bytes) -> None:
+        if self.head_sent and self not in delayed_events and b"[DONE]" not in data:
+            delayed_events[self] = data
             return
-        await event(self, data + held.pop(self, b""))
+        await send_event(self, data + delayed_events.pop(self, b""))
 
-    return [(ClientConnection, "send_event", swaps)]
+    return [(ClientConnection, "send_event", swap_events)]
 
 
 def _dropped() -> list[Patch]:
-    event = ClientConnection.send_event
+    send_event = ClientConnection.send_event
 
-    async def drops(self: ClientConnection, data: bytes) -> None:
+    async def drop_event(self: ClientConnection, data: bytes) -> None:
         if b'"w2 "' not in data:
-            await event(self, data)
+            await send_event(self, data)
 
-    return [(ClientConnection, "send_event", drops)]
+    return [(ClientConnection, "send_event", drop_event)]
 
 
 def _held() -> list[Patch]:
-    event = ClientConnection.send_event
+    send_event = ClientConnection.send_event
 
-    async def later(self: ClientConnection, data: bytes) -> None:
+    async def delay_event(self: ClientConnection, data: bytes) -> None:
         await trio.sleep(0.06)
-        await event(self, data)
+        await send_event(self, data)
 
-    return [(ClientConnection, "send_event", later)]
+    return [(ClientConnection, "send_event", delay_event)]
 
 
 def _descriptor_leak() -> list[Patch]:
     release = ConnectionPool.release
 
-    def leaks(self: Any, line: Any, whole: bool) -> None:
-        if not whole:
-            line.connection._on_close = lambda: None
-        release(self, line, whole)
+    def release_without_descriptor(self: Any, pooled: Any, is_complete: bool) -> None:
+        if not is_complete:
+            pooled.connection._on_close = lambda: None
+        release(self, pooled, is_complete)
 
-    return [(ConnectionPool, "release", leaks)]
+    return [(ConnectionPool, "release", release_without_descriptor)]
 
 
 def _ends_whole() -> list[Patch]:
     conclude = ClientConnection.conclude
 
-    async def whole(self: ClientConnection) -> None:
+    async def conclude_as_served(self: ClientConnection) -> None:
         if self.final is not None and self.final.outcome is Outcome.BROKEN:
             self.final = replace(self.final, outcome=Outcome.SERVED)
         await conclude(self)
 
-    return [(ClientConnection, "conclude", whole)]
+    return [(ClientConnection, "conclude", conclude_as_served)]
 
 
 def _names_leak() -> list[Patch]:
-    forget = Core._remove_if_complete
+    remove_if_complete = Core._remove_if_complete
 
-    def keeps(self: Core, entry: Any) -> None:
+    def keep_names(self: Core, rpc: Any) -> None:
         names = set(self._names)
-        forget(self, entry)
+        remove_if_complete(self, rpc)
         self._names |= names
 
-    return [(Core, "_remove_if_complete", keeps)]
+    return [(Core, "_remove_if_complete", keep_names)]
 
 
 def _forgotten_end() -> list[Patch]:
@@ -176,80 +179,86 @@
 
 
 def _cut_at_stop() -> list[Patch]:
-    async def at_once(self: Any, within_s: float) -> None:
+    async def return_at_once(self: Any, within_s: float) -> None:
         await trio.lowlevel.checkpoint()
 
-    return [(serve, "DRAIN_S", 0.0), (Front, "wait_closed", at_once)]
+    return [(serve, "DRAIN_S", 0.0), (Front, "wait_closed", return_at_once)]
 
 
 MUTANTS: dict[str, Mutant] = {
-    "second-attempt": Mutant("a second attempt at once, beside the first", "overlap", _second_attempt),
+    "second-attempt": Mutant("a second attempt is started beside the first", "overlap", _second_attempt),
     "pool-resends": Mutant("the transport sends a request again after a reset", "resent", _pool_resends),
     "sends-after-drain": Mutant(
-        "notices that an engine will end are not heeded", "drain", _sends_after_drain
+        "announcements that a server will end are ignored", "drain", _sends_after_drain
     ),
     "late-answer": Mutant(
-        "the deadline's answer comes 60 ms after it", "in-time", lambda: [(core_module, "MARGIN_S", -0.06)]
+        "the answer at the deadline is sent 60 ms after it",
+        "in-time",
+        lambda: [(core_module, "MARGIN_S", -0.06)],
     ),
-    "cold-overrun": Mutant("the coldest engine gets all requests", "cold", _cold_overrun),
-    "lost-final": Mutant("a refusal never reaches the client", "final", _lost_final),
-    "reordered": Mutant("two events change places", "unchanged", _reordered),
-    "dropped": Mutant("an event is left out", "unchanged", _dropped),
-    "held": Mutant("events wait 60 ms", "at-once", _held),
-    "ends-whole": Mutant("a broken stream ends as if it were whole", "unchanged", _ends_whole),
-    "descriptor-leak": Mutant("a descriptor is lost with each reset", "leak", _descriptor_leak),
+    "cold-overrun": Mutant("the server with the least capacity gets all requests", "cold", _cold_overrun),
+    "lost-final": Mutant("refusals are not sent to the client", "final", _lost_final),
+    "reordered": Mutant("two events are swapped", "unchanged", _reordered),
+    "dropped": Mutant("an event is not forwarded", "unchanged", _dropped),
+    "held": Mutant("events are delayed by 60 ms", "at-once", _held),
+    "ends-whole": Mutant("a broken stream ends like a complete one", "unchanged", _ends_whole),
+    "descriptor-leak": Mutant("a descriptor leaks with each reset", "leak", _descriptor_leak),
     "payload-leak": Mutant(
-        "payloads are not given back",
+        "memory of payloads is not released",
         "leak",
         lambda: [(PayloadBudget, "release", lambda self, count: None)],
     ),
-    "names-leak": Mutant("names of ended RPCs are kept", "leak", _names_leak),
-    "forgotten-end": Mutant("the module does not hear of an attempt not made", "leak", _forgotten_end),
+    "names-leak": Mutant("names of completed RPCs are kept", "leak", _names_leak),
+    "forgotten-end": Mutant(
+        "the decision module gets no report of an unsent attempt", "leak", _forgotten_end
+    ),
     "no-silence-timer": Mutant(
-        "the timer for engines that go silent never fires",
+        "the timer for silent servers never fires",
         "rest",
         lambda: [(server_client, "EVENT_GAP_TIMEOUT_S", 1e9), (server_client, "FIRST_EVENT_TIMEOUT_S", 1e9)],
     ),
     "keeps-idle": Mutant(
-        "idle connections outlive the program's end",
+        "idle connections are not closed at the program's end",
         "leak",
         lambda: [(Subchannel, "run", Subchannel._process_orders)],
     ),
-    "no-linger": Mutant("newcomers after SIGTERM are not taken", "final", lambda: [(serve, "LINGER_S", 0.0)]),
-    "cut-at-stop": Mutant("a stopping router cuts what still streams", "whole", _cut_at_stop),
+    "no-linger": Mutant(
+        "new connections after SIGTERM are not accepted", "final", lambda: [(serve, "LINGER_S", 0.0)]
+    ),
+    "cut-at-stop": Mutant("a stopping router aborts open streams", "whole", _cut_at_stop),
 }
 
 
 @contextmanager
 def mutated(name: str) -> Iterator[None]:
-    """The router with this mistake in it; with no name, as it is."""
+    """Apply a mutant to the router within the context; an empty name changes nothing."""
     if not name:
         yield
         return
     patches = MUTANTS[name].patches()
-    were = [(place, attribute, getattr(place, attribute)) for place, attribute, _ in patches]
-    for place, attribute, made in patches:
-        setattr(place, attribute, made)
+    originals = [(owner, attribute, getattr(owner, attribute)) for owner, attribute, _ in patches]
+    for owner, attribute, replacement in patches:
+        setattr(owner, attribute, replacement)
     try:
         yield
     finally:
-        for place, attribute, was in were:
-            setattr(place, attribute, was)
+        for owner, attribute, original in originals:
+            setattr(owner, attribute, original)
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """After how many seeds a mutant was found."""
+    """The result for one mutant: after how many seeds it was found."""
 
     mutant: str
-    seeds: int | None  # played until the first violation; None: not found
+    seeds: int | None  # run up to the first violation; None: not found
     seed: int | None
     rule: str
     text: str
 
 
 def find(name: str, seeds: range) -> Finding:
-    """Play these seeds against a mutant, until the rule that it breaks is seen broken."""
+    """Run these seeds with a mutant applied, up to the first violation of the rule that it breaks."""
     with mutated(name):
         for count, seed in enumerate(seeds, 1):
             explored: ScenarioResult = explore_scenario(draw(seed))
@@ -260,7 +269,7 @@
 
 
 def find_all(names: Sequence[str], seeds: range, jobs: int) -> list[Finding]:
-    """Each in a process of its own, `jobs` at once."""
+    """Search for each mutant in a process of its own, up to `jobs` at the same time."""
     if jobs == 1 or len(names) == 1:
         return [find(name, seeds) for name in names]
     with ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn")) as pool:
