--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -38,7 +38,7 @@
 from sorreldock.routing.subchannel import Subchannel
 
 ROOT = Path(__file__).parent.parent
-FILES = sorted((ROOT / "deploy" / "lab" / "scenarios").glob("*.toml"))
+SCENARIO_FILES = sorted((ROOT / "deploy" / "lab" / "scenarios").glob("*.toml"))
 Story = Callable[[Network], Awaitable[None]]
 
 
@@ -319,46 +319,48 @@
     assert [judged(a) for a in (drained, after_drain, readdressed)] == [[], ["drain"], []]
 
 
-def test_oracles_see_events_changed_held_cut_off_and_streams_made_whole() -> None:
-    async def passed(
-        w: Wires, *parts: bytes, wait: float = 0.0, engine: bytes = HEAD + ONE + TWO + END
+def test_events_that_are_changed_delayed_or_cut_off_are_violations() -> None:
+    async def forward(
+        w: Wires, *parts: bytes, delay_s: float = 0.0, server_answer: bytes = HEAD + ONE + TWO + END
     ) -> None:
         await w.ask()
-        await w.attempt(0, engine)
-        await trio.sleep(wait)
+        await w.attempt(0, server_answer)
+        await trio.sleep(delay_s)
         for part in parts:
             await w.front.send_all(part)
         w.front.close()
         w.ways[0][0].close()
 
-    def of(*parts: bytes, **kwargs: object) -> list[str]:
-        return judged(lambda w: passed(w, *parts, **kwargs))  # type: ignore[arg-type]
+    def violated_rules(*parts: bytes, **kwargs: object) -> list[str]:
+        return judged(lambda w: forward(w, *parts, **kwargs))  # type: ignore[arg-type]
 
-    assert of(HEAD + ONE + TWO + END) == []
-    assert of(HEAD + TWO + ONE + END) == ["unchanged"]
-    assert of(HEAD + ONE + END) == ["unchanged"]
-    assert of(HEAD + ONE + TWO + END, wait=0.05) == ["at-once"]
-    assert of(HEAD + ONE) == ["whole"]
-    assert of(HEAD + ONE + END, engine=HEAD + ONE) == ["unchanged"]  # the engine's own stream had no end
-    assert of(HEAD + ONE, engine=HEAD + ONE) == ["whole"]  # and the router left it first
+    assert violated_rules(HEAD + ONE + TWO + END) == []
+    assert violated_rules(HEAD + TWO + ONE + END) == ["unchanged"]
+    assert violated_rules(HEAD + ONE + END) == ["unchanged"]
+    assert violated_rules(HEAD + ONE + TWO + END, delay_s=0.05) == ["at-once"]
+    assert violated_rules(HEAD + ONE) == ["whole"]
+    assert violated_rules(HEAD + ONE + END, server_answer=HEAD + ONE) == [
+        "unchanged"
+    ]  # the server's own stream has no end
+    assert violated_rules(HEAD + ONE, server_answer=HEAD + ONE) == ["whole"]  # the router closes it first
 
 
-# The router itself.
+# The router in the simulation.
 
 
-def test_the_same_seed_comes_to_the_same_steps_and_another_one_does_not() -> None:
-    one, again, other = (
+def test_runs_of_one_seed_have_equal_traces_and_another_seed_differs() -> None:
+    first, second, other = (
         run_scenario(draw(3), keep_trace=True),
         run_scenario(draw(3), keep_trace=True),
         run_scenario(draw(4)),
     )
-    assert one.trace == again.trace and one.digest == again.digest != other.digest
+    assert first.trace == second.trace and first.digest == second.digest != other.digest
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "77"])
-def test_a_trace_is_the_same_in_another_process_whatever_its_hashes(hash_seed: str) -> None:
+def test_a_trace_is_equal_in_another_process_with_any_hash_seed(hash_seed: str) -> None:
     command = [sys.executable, "-m", "sorreldock", "lab", "explore", "--seed", "5", "--trace"]
-    made = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=ROOT,
         capture_output=True,
@@ -366,147 +368,159 @@
         timeout=60,
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
     )
-    assert made.returncode == 0 and made.stdout.splitlines() == run_scenario(draw(5), keep_trace=True).trace
+    assert (
+        completed.returncode == 0
+        and completed.stdout.splitlines() == run_scenario(draw(5), keep_trace=True).trace
+    )
 
 
-def test_what_differs_is_named_by_its_step() -> None:
-    parting = compare(9, ["a", "b", "c"], ["a", "x", "c"])
-    assert parting is not None and (parting.step, parting.first, parting.second) == (2, "b", "x")
+def test_compare_returns_the_first_step_that_differs() -> None:
+    divergence = compare(9, ["a", "b", "c"], ["a", "x", "c"])
+    assert divergence is not None and (divergence.step, divergence.first, divergence.second) == (2, "b", "x")
     assert compare(9, ["a"], ["a"]) is None
     longer = compare(9, ["a"], ["a", "b"])
     assert longer is not None and longer.step == 2
 
 
-def test_whoever_reads_the_clock_behind_the_seams_back_is_named() -> None:
+def test_guard_names_a_module_that_bypasses_the_system_interface() -> None:
     code = "import time\ndef look():\n    return time.time()\n"
     module: dict[str, object] = {"__name__": "sorreldock.routing.core"}
     exec(code, module)
     with Guard(), pytest.raises(BehindTheSeam, match=r"time\.time in sorreldock\.routing\.core, line 3"):
         module["look"]()  # type: ignore[operator]
     with Guard():
-        assert time.time() > 0  # nobody else is kept from it
+        assert time.time() > 0  # other modules may read the clock
 
 
-def test_fixed_seeds_hold_all_rules_on_any_number_of_processes() -> None:
+def test_fixed_seeds_hold_all_rules_with_any_number_of_processes() -> None:
     seeds = range(1000, 1200)
     figures = exploring.explore(seeds, 8).figures()
     assert figures["violations"] == [] and figures["scenarios"] == len(seeds)
     assert figures["rpcs"] >= 15 * len(seeds) and set(figures["faults"]) == set(FAULTS)
-    few = range(1000, 1010)
-    assert exploring.explore(few, 1).figures()["digest"] == exploring.explore(few, 3).figures()["digest"]
+    few_seeds = range(1000, 1010)
+    assert (
+        exploring.explore(few_seeds, 1).figures()["digest"]
+        == exploring.explore(few_seeds, 3).figures()["digest"]
+    )
 
 
-async def steps_and_fails(self: Exchange) -> None:
+async def step_before_fix(self: Exchange) -> None:
     for event in await self.line.wire.receive() or ():
         self.handle_event(event)
     await self.line.wire.flush()
 
 
-async def begins_anew(self: Program) -> None:
+async def answer_all_before_fix(self: Program) -> None:
     await self.core.wait_until_idle()
-    with trio.move_on_after(2.0):  # without heed of what is owed, which `Front.wait_closed` waits for now
+    with trio.move_on_after(2.0):  # ignores unanswered requests, which `Front.wait_closed` waits for now
         while any(front.clients for front in self.fronts.values()):
             await trio.sleep(0.01)
 
 
-async def greets_as_ever(self: kserve_connection.ClientConnection) -> None:
+async def close_if_silent_before_fix(self: kserve_connection.ClientConnection) -> None:
     await trio.sleep(limits.HEAD_TIMEOUT_S)
     if not self.has_sent_request:
         self.scope.cancel()
 
 
-def as_it_came(self: Core, event: Event) -> bool:
+def should_decide_before_fix(self: Core, event: Event) -> bool:
     self._report_unsent_attempt = lambda request, replica: None  # type: ignore[method-assign]
     return True
 
 
-BEFORE: dict[
-    str, tuple[object, str, object, str]
-] = {  # each fix taken out again, and the rule that then breaks
+# For each scenario file the patch that reverts its fix, and the rule that the scenario breaks without it.
+REVERTED_FIXES: dict[str, tuple[object, str, object, str]] = {
     "half-written-drain": (Subchannel, "_stop_writing", lambda self: trio.lowlevel.checkpoint(), "drain"),
     "idle-at-the-end": (Subchannel, "run", Subchannel._process_orders, "leak"),
-    # A request whose client has left is kept from the module, too; `_report_unsent_attempt` alone:
-    # test_decisions.py.
-    "left-before-sent": (Core, "_should_decide", as_it_came, "leak"),
+    # The fix has a second part: a request whose client has left isn't passed to the module either. For
+    # `_report_unsent_attempt` alone see test_decisions.py.
+    "left-before-sent": (Core, "_should_decide", should_decide_before_fix, "leak"),
     "reset-after-goaway": (kserve_connection, "suppress", lambda *errors: nullcontext(), "whole"),
-    "whole-before-close": (Exchange, "step", steps_and_fails, "whole"),
+    "whole-before-close": (Exchange, "step", step_before_fix, "whole"),
     "call-to-a-drained-router": (
         kserve_connection.ClientConnection,
         "close_if_silent",
-        greets_as_ever,
+        close_if_silent_before_fix,
         "rest",
     ),
-    "taken-while-closing": (Program, "_answer_all", begins_anew, "whole"),
+    "taken-while-closing": (Program, "_answer_all", answer_all_before_fix, "whole"),
 }
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", SCENARIO_FILES, ids=lambda p: p.stem)
 def test_a_scenario_breaks_its_rule_without_the_fix_and_none_with_it(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert run_scenario(load(path)).violations == []
-    place, name, was, rule = BEFORE[path.stem]
-    monkeypatch.setattr(place, name, was)
+    owner, name, replacement, rule = REVERTED_FIXES[path.stem]
+    monkeypatch.setattr(owner, name, replacement)
     assert rule in {v.rule for v in run_scenario(load(path)).violations}
 
 
-def test_at_eight_routers_of_thin_traffic_lost_answers_come_from_elsewhere() -> None:
-    """A probe that was answered ended the watch over a late attempt: its request waited for its deadline."""
-    calls = [plans.RequestPlan(at_s=0.2 + k / 10, router=k % 8, deadline_s=5.0) for k in range(96)]
-    lost = [plans.FaultPlan(kind="spoil", how="lost", at_s=8.9, target=k) for k in range(3)]
-    engines, played = [plans.ServerPlan()] * 3, list[Simulation]()
-    scenario = Scenario(seed=61, routers=8, probes=True, engines=engines, requests=calls, faults=lost)
-    result = run_scenario(scenario, on_start=played.append)
+def test_lost_answers_are_retried_with_eight_routers_and_little_traffic() -> None:
+    """Guards against an answered probe that stops the check for late attempts.
+
+    The request of a lost attempt then waited until its deadline.
+    """
+    requests = [
+        plans.RequestPlan(at_s=0.2 + index / 10, router=index % 8, deadline_s=5.0) for index in range(96)
+    ]
+    faults = [plans.FaultPlan(kind="spoil", how="lost", at_s=8.9, target=index) for index in range(3)]
+    servers, simulations = [plans.ServerPlan()] * 3, list[Simulation]()
+    scenario = Scenario(seed=61, routers=8, probes=True, engines=servers, requests=requests, faults=faults)
+    result = run_scenario(scenario, on_start=simulations.append)
     assert not result.violations and result.attempts > 100
-    assert all(rpc.is_served for rpc in played[0].checker.rpcs)
+    assert all(rpc.is_served for rpc in simulations[0].checker.rpcs)
 
 
-def test_each_mutant_is_found_and_not_the_router() -> None:
+def test_each_mutant_is_found_and_the_unmodified_router_breaks_no_rule() -> None:
     found = find_all(list(MUTANTS), range(500), 8)
     assert {f.mutant for f in found if f.seeds is None} == set()
     assert not any(run_scenario(draw(f.seed or 0)).violations for f in found)
 
 
-def test_a_failing_scenario_shrinks_to_a_file_that_fails_as_it_did(tmp_path: Path) -> None:
+def test_a_failing_scenario_shrinks_to_a_file_that_still_fails(tmp_path: Path) -> None:
     with mutated("second-attempt"):
-        made = shrink(draw(0), "overlap")
+        shrunk = shrink(draw(0), "overlap")
         path = tmp_path / "small.toml"
-        path.write_bytes(dump(made.scenario))
-        assert load(path) == made.scenario and breaks_rule(load(path), "overlap")
-    assert len(made.scenario.requests) == 1 and not made.scenario.faults and made.scenario.routers == 1
+        path.write_bytes(dump(shrunk.scenario))
+        assert load(path) == shrunk.scenario and breaks_rule(load(path), "overlap")
+    assert len(shrunk.scenario.requests) == 1 and not shrunk.scenario.faults and shrunk.scenario.routers == 1
     with pytest.raises(ValueError, match="does not break"):
-        shrink(made.scenario, "overlap")
+        shrink(shrunk.scenario, "overlap")
 
 
-def test_a_world_that_never_rests_and_one_that_stands_still_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def for_ever(self: Program) -> None:
+def test_a_run_that_never_rests_or_whose_time_stands_still_is_a_violation(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def run_forever(self: Program) -> None:
         while True:
             await trio.sleep(1.0)
 
-    async def in_circles(self: Program) -> None:
+    async def run_without_time_advancing(self: Program) -> None:
         while True:
             await trio.lowlevel.checkpoint()
 
     quiet = msgspec.structs.replace(draw(2), requests=[], faults=[], routers=1)
-    for stuck in (for_ever, in_circles):
-        monkeypatch.setattr(Program, "run", stuck)
+    for program_run in (run_forever, run_without_time_advancing):
+        monkeypatch.setattr(Program, "run", program_run)
         monkeypatch.setattr(Program, "core", None, raising=False)
-        assert "rest" in {v.rule for v in play_without_rest(quiet)}
+        assert "rest" in {v.rule for v in run_without_idle_check(quiet)}
 
 
-def play_without_rest(scenario: Scenario) -> list[object]:
+def run_without_idle_check(scenario: Scenario) -> list[object]:
     from sorreldock.lab.simulation.runner import Simulation
 
-    was = Simulation._check_idle
+    original = Simulation._check_idle
     Simulation._check_idle = lambda self: trio.sleep(1.0)  # type: ignore[method-assign,assignment]
     try:
         return list(run_scenario(scenario).violations)
     finally:
-        Simulation._check_idle = was  # type: ignore[method-assign]
+        Simulation._check_idle = original  # type: ignore[method-assign]
 
 
-def dies_at_three(pipe: Connection, mutant: str) -> None:
-    """In place of a worker's work."""
+def exit_at_seed_three(pipe: Connection, mutant: str) -> None:
+    """Act as a worker process that exits at seed 3."""
     with suppress(EOFError):
         while True:
             for seed in pipe.recv():
@@ -516,14 +530,14 @@
                 pipe.send(exploring.ScenarioResult(seed, "", 1, 1, 0.0, [], {}))
 
 
-def test_a_process_that_dies_costs_its_seed_and_no_other() -> None:
-    figures = exploring.explore(range(12), 2, worker_main=dies_at_three).figures()
+def test_a_crash_of_a_worker_process_fails_only_its_seed() -> None:
+    figures = exploring.explore(range(12), 2, worker_main=exit_at_seed_three).figures()
     assert figures["scenarios"] == 12
     [violation] = figures["violations"]
     assert violation["seed"] == 3 and violation["rule"] == "fault" and "status 7" in violation["text"]
 
 
-def test_drawn_scenarios_survive_their_file_and_cover_what_help_names(tmp_path: Path) -> None:
+def test_drawn_scenarios_round_trip_and_cover_all_documented_kinds(tmp_path: Path) -> None:
     kinds, clients = set(), set()
     for seed in range(300):
         scenario = draw(seed)
@@ -541,7 +555,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("seed = 1\n", "engines"),
         ("seed = 1\nengines = [{}]\n[[faults]]\nkind = 'slow'\nat_s = 1\ntarget = 4\n", "no target 4"),
@@ -551,18 +565,18 @@
         ("seed = 1\nengines = [{}]\nwind = 3\n", "wind"),
     ],
 )
-def test_a_faulty_scenario_is_told_in_a_line(tmp_path: Path, text: str, said: str) -> None:
+def test_an_invalid_scenario_is_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
-    with pytest.raises(LabError, match=said):
+    with pytest.raises(LabError, match=expected):
         load(path)
-    made = command("explore", "--scenario", str(path))
-    assert made.returncode == 2 and made.stderr.count("\n") == 1 and said in made.stderr
+    completed = run_command("explore", "--scenario", str(path))
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1 and expected in completed.stderr
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "sorreldock", "lab", *words],
+        [sys.executable, "-m", "sorreldock", "lab", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -570,26 +584,30 @@
     )
 
 
-def test_the_commands_answer_programs_and_people(tmp_path: Path) -> None:
-    figures = json.loads(command("explore", "--seeds", "0:6", "--jobs", "2", "--json").stdout)
+def test_commands_print_json_and_return_exit_statuses(tmp_path: Path) -> None:
+    figures = json.loads(run_command("explore", "--seeds", "0:6", "--jobs", "2", "--json").stdout)
     assert {"scenarios", "rpcs", "attempts", "virtual_s", "wall_s", "violations", "faults", "digest"} <= set(
         figures
     )
     path = tmp_path / "small.toml"
-    broken = command("explore", "--seed", "0", "--mutant", "second-attempt", "--json", "--shrink", str(path))
-    first = json.loads(broken.stdout)["violations"][0]
-    assert broken.returncode == 1 and {"seed", "rule", "at_s", "last"} <= set(first) and first["last"]
-    assert command("explore", "--scenario", str(path)).returncode == 0  # without the mistake
-    assert command("explore", "--scenario", str(path), "--mutant", "second-attempt").returncode == 1
-    rows = json.loads(command("mutants", "--mutant", "second-attempt", "--seeds", "0:5", "--json").stdout)
+    failed = run_command(
+        "explore", "--seed", "0", "--mutant", "second-attempt", "--json", "--shrink", str(path)
+    )
+    violation = json.loads(failed.stdout)["violations"][0]
+    assert failed.returncode == 1 and {"seed", "rule", "at_s", "last"} <= set(violation) and violation["last"]
+    assert run_command("explore", "--scenario", str(path)).returncode == 0  # without the mutant
+    assert run_command("explore", "--scenario", str(path), "--mutant", "second-attempt").returncode == 1
+    rows = json.loads(run_command("mutants", "--mutant", "second-attempt", "--seeds", "0:5", "--json").stdout)
     assert rows[0]["mutant"] == "second-attempt" and rows[0]["seeds"] >= 1
-    for words in (
+    for arguments in (
         ("explore",),
         ("explore", "--seed", "1", "--mutant", "none"),
         ("mutants", "--mutant", "none"),
-        ("plants", "--seeds", "0:5"),  # as it was called
+        ("plants", "--seeds", "0:5"),  # the former name of the command
     ):
-        made = command(*words)
+        completed = run_command(*arguments)
         assert (
-            made.returncode == 2 and made.stderr.startswith("sorreldock: ") and made.stderr.count("\n") == 1
+            completed.returncode == 2
+            and completed.stderr.startswith("sorreldock: ")
+            and completed.stderr.count("\n") == 1
         )
