--- a/sorreldock/lab/simulation/observers.py
+++ b/sorreldock/lab/simulation/observers.py
@@ -151,10 +151,10 @@
         self._fields: dict[int, dict[str, str]] = {}
         self._messages: dict[int, bytearray] = {}
         self._open_rpcs: dict[int, Rpc] = {}
-        self._refused: set[str] = set()
+        self._refused_keys: set[str] = set()
 
     def was_refused(self, rpc: Rpc) -> bool:
-        return rpc.key in self._refused
+        return rpc.key in self._refused_keys
 
     def read_requests(self, data: bytes) -> None:
         for frame in self._request_reader.feed(data):
@@ -187,7 +187,7 @@
                 continue
             if frame.kind == RESET:
                 if rpc.first_byte_at is None:
-                    self._refused.add(rpc.key)
+                    self._refused_keys.add(rpc.key)
                 if rpc.final_at is None:
                     rpc.first_byte_at, rpc.final_at = rpc.first_byte_at or now, now
                 continue
--- a/sorreldock/lab/simulation/scenario.py
+++ b/sorreldock/lab/simulation/scenario.py
@@ -64,9 +64,9 @@
     delay_ms: NotNegative = 1.0
     jitter_ms: NotNegative = 0.0
     loss: Share = 0.0
-    pieces: Share = 0.0
+    pieces: Share = 0.0  # of reads and writes that are cut short
     buffer: Annotated[int, msgspec.Meta(ge=2048)] = 65536
-    reset_drops: bool = False
+    reset_drops: bool = False  # a reset discards received bytes that are unread
 
 
 class ServerPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
@@ -169,13 +169,13 @@
 }
 
 
-def draw_request(rng: random.Random, at_s: float, routers: int, protocol: str) -> RequestPlan:
+def draw_request(rng: random.Random, at_s: float, router_count: int, protocol: str) -> RequestPlan:
     rpc_class, _, deadline_s, _ = rng.choice(REQUEST_CLASSES)
     client = rng.choices(list(CLIENTS), (14, 2, 2, 1, 2, 3))[0]
     is_large = rng.random() < 0.07
     return RequestPlan(
         at_s=round(at_s, 3),
-        router=rng.randrange(routers),
+        router=rng.randrange(router_count),
         protocol=protocol,  # type: ignore[arg-type]
         client=client,
         machine=rng.randrange(6),
@@ -188,20 +188,20 @@
     )
 
 
-def draw_fault(rng: random.Random, routers: int, engines: int, until_s: float) -> FaultPlan:
-    kinds = [
-        k for k in FAULTS if k != "sent-away"
-    ]  # `draw` adds those, so that older seeds keep their scenarios
-    kind = rng.choices(kinds, [FAULT_WEIGHTS.get(k, 1) for k in kinds])[0]
+def draw_fault(rng: random.Random, router_count: int, server_count: int, until_s: float) -> FaultPlan:
+    # Faults that were added later ("sent-away", "lost") are drawn in `draw` with a generator of their own, so
+    # that older seeds keep their scenarios.
+    kinds = [fault_kind for fault_kind in FAULTS if fault_kind != "sent-away"]
+    kind = rng.choices(kinds, [FAULT_WEIGHTS.get(fault_kind, 1) for fault_kind in kinds])[0]
     at_s, for_s = (
         round(rng.uniform(0.2, until_s), 3),
         round(rng.choice((0.3, 1.0, 2.5)) * rng.uniform(0.7, 1.3), 3),
     )
     target, amount, other, how = 0, 0.0, "", ""
     if kind in SERVER_FAULTS:
-        target = rng.randrange(engines)
+        target = rng.randrange(server_count)
     elif kind in ROUTER_FAULTS:
-        target = rng.randrange(routers)
+        target = rng.randrange(router_count)
     match kind:
         case "slow" | "slowdown":
             amount = rng.choice((3.0, 10.0, 40.0))
@@ -218,9 +218,9 @@
         case "narrow":
             amount = rng.choice((2000.0, 20000.0))
         case "spoil":
-            how = rng.choice([s for s in SPOIL_KINDS if s != "lost"])  # also added by `draw`
+            how = rng.choice([spoil for spoil in SPOIL_KINDS if spoil != "lost"])
         case "partition" | "one-way":
-            other = rng.choice((f"e{rng.randrange(engines)}", "d0", f"c{rng.randrange(6)}"))
+            other = rng.choice((f"e{rng.randrange(server_count)}", "d0", f"c{rng.randrange(6)}"))
             how = rng.choice(("", "back")) if kind == "one-way" else ""
     return FaultPlan(kind=kind, at_s=at_s, for_s=for_s, target=target, other=other, amount=amount, how=how)
 
@@ -263,11 +263,11 @@
         family = (
             "router"
             if fault.kind in ("stop", "kill")
-            else "engine"
+            else "server"
             if fault.kind in REPLACING_FAULTS
             else fault.kind
         )
-        if family in ("router", "engine", "list-moved") and (family, fault.target) in seen_targets:
+        if family in ("router", "server", "list-moved") and (family, fault.target) in seen_targets:
             continue
         seen_targets.add((family, fault.target))
         kept_faults.append(fault)
