--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -1,4 +1,4 @@
-"""The faults, carried out in a world."""
+"""The faults of a scenario, applied to a simulation."""
 
 from __future__ import annotations
 
@@ -10,102 +10,102 @@
 from ...transport.admission import Stage
 from .lists import VirtualDiscovery
 from .network import Host
-from .scenario import ENGINE_FAULTS, FaultPlan, RequestPlan
+from .scenario import SERVER_FAULTS, FaultPlan, RequestPlan
 
 if TYPE_CHECKING:
     from .engines import VirtualEngine
-    from .runner import Router, World
+    from .runner import Router, Simulation
 
-NOTICED_S = 0.8  # after which discovery tells that a machine has gone
-GONE_S = 2.0  # from the notice of an engine's end until its process has ended
-DEPLOY_STEP_S = 0.8
-EMPTY_S = 2.0  # after a drain call nobody idle is held any longer; the platform allows 4 s
-HELD_S = 1.5
+DISCOVERY_DELAY_S = 0.8  # until discovery announces that a host has failed
+SHUTDOWN_S = 2.0  # from the announcement that a server will end until its process has ended
+DEPLOY_INTERVAL_S = 0.8
+IDLE_DRAIN_S = 2.0  # after which a drained router holds no idle connections; the platform allows 4 s
+MIN_IDLE_S = 1.5  # for which a connection has had no request, to count as idle
 
 
-async def play(world: World, fault: FaultPlan) -> None:
-    """Carry out one fault, from its beginning to its end."""
+async def run_fault(simulation: Simulation, fault: FaultPlan) -> None:
+    """Start one fault at its time, and return when it has ended."""
     await trio.sleep_until(fault.at_s)
-    world.faults[fault.kind] += 1
-    what = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
-    world.record(f"fault {what}")
-    if fault.kind in ENGINE_FAULTS:
-        await engine_fault(world, world.engines[fault.target], fault)
+    simulation.faults[fault.kind] += 1
+    description = f"{fault.kind} {fault.target} {fault.other}{fault.how}{fault.amount or ''}"
+    simulation.record(f"fault {description}")
+    if fault.kind in SERVER_FAULTS:
+        await run_server_fault(simulation, simulation.servers[fault.target], fault)
     elif fault.kind.startswith("list-"):
-        await list_fault(world, fault)
+        await run_discovery_fault(simulation, fault)
     elif fault.kind in ("partition", "one-way"):
-        await partition(world, fault)
+        await run_partition(simulation, fault)
     elif fault.kind in ("deploy", "slowdown", "surge"):
-        await fleet_fault(world, fault)
+        await run_fleet_fault(simulation, fault)
     else:
-        await router_fault(world, fault)
-    world.record(f"fault over {what}")
+        await run_router_fault(simulation, fault)
+    simulation.record(f"fault over {description}")
 
 
-async def engine_fault(world: World, engine: VirtualEngine, fault: FaultPlan) -> None:
+async def run_server_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
-            engine.slower(fault.amount)
+            server.slower(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.slower(1.0)
+            server.slower(1.0)
         case "errors":
-            engine.failing(fault.amount)
+            server.failing(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.failing(0.0)
+            server.failing(0.0)
         case "full":
-            engine.full = True
+            server.full = True
             await trio.sleep(fault.for_s)
-            engine.full = False
+            server.full = False
         case "hang":
-            engine.hung = True
+            server.hung = True
             await trio.sleep(fault.for_s)
-            engine.hung = False
+            server.hung = False
         case "pause":
-            engine.pause(trio.current_time() + fault.for_s)
+            server.pause(trio.current_time() + fault.for_s)
             await trio.sleep(fault.for_s)
         case "spoil":
-            engine.spoil, engine.spoils = fault.how, 3
+            server.spoil, server.spoils = fault.how, 3
             await trio.sleep(fault.for_s)
-            engine.spoils = 0
+            server.spoils = 0
         case "refuse":
-            engine.close_port()
+            server.close_port()
             await trio.sleep(fault.for_s)
-            if not engine.over:
-                world.nursery.start_soon(engine.serve, world.nursery)
+            if not server.over:
+                simulation.nursery.start_soon(server.serve, simulation.nursery)
         case _:
-            await machine_fault(world, engine, fault)
+            await run_host_fault(simulation, server, fault)
 
 
-async def machine_fault(world: World, engine: VirtualEngine, fault: FaultPlan) -> None:
-    """Faults after which another engine follows, and those of the machine's network."""
-    host = engine.host
+async def run_host_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
+    """Run a fault after which a new server replaces the old one, or a fault of the host's network."""
+    host = server.host
     match fault.kind:
         case "deaf":
             host.deaf = True
             await trio.sleep(fault.for_s)
             host.deaf = False
         case "crash":
-            engine.end()
-            await trio.sleep(NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
+            server.end()
+            await trio.sleep(DISCOVERY_DELAY_S)
+            simulation.discovery.state(server.uid, "Gone")
             await trio.sleep(fault.for_s)
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "vanish":
             host.vanish()
-            await trio.sleep(fault.for_s + NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
-            engine.end()
+            await trio.sleep(fault.for_s + DISCOVERY_DELAY_S)
+            simulation.discovery.state(server.uid, "Gone")
+            server.end()
             host.come_back()
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "drain":
-            successor = world.engine(engine.plan, True)
-            await drain(world, engine)
-            world.engines[fault.target] = successor
+            successor = simulation.start_server(server.plan, True)
+            await drain_server(simulation, server)
+            simulation.servers[fault.target] = successor
         case "readdress":
-            engine.end()
-            world.discovery.state(engine.uid, "Gone")
-            await trio.sleep(0)  # its port is free
-            world.engines[fault.target] = world.engine(engine.plan, True, engine)
+            server.end()
+            simulation.discovery.state(server.uid, "Gone")
+            await trio.sleep(0)  # lets the port become free
+            simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "loss":
             host.loss = fault.amount
             await trio.sleep(fault.for_s)
@@ -118,54 +118,54 @@
             host.rate = float("inf")
 
 
-async def drain(world: World, engine: VirtualEngine) -> None:
-    if engine.over:
+async def drain_server(simulation: Simulation, server: VirtualEngine) -> None:
+    if server.over:
         return
-    engine.model.drain()
-    world.discovery.state(engine.uid, "Terminating")
-    await trio.sleep(GONE_S)
-    world.discovery.state(engine.uid, "Gone")
-    engine.end()
+    server.model.drain()
+    simulation.discovery.state(server.uid, "Terminating")
+    await trio.sleep(SHUTDOWN_S)
+    simulation.discovery.state(server.uid, "Gone")
+    server.end()
 
 
-async def fleet_fault(world: World, fault: FaultPlan) -> None:
+async def run_fleet_fault(simulation: Simulation, fault: FaultPlan) -> None:
     match fault.kind:
         case "slowdown":
-            engines = list(world.engines)
-            for engine in engines:
-                engine.slower(fault.amount)
+            servers = list(simulation.servers)
+            for server in servers:
+                server.slower(fault.amount)
             await trio.sleep(fault.for_s)
-            for engine in engines:
-                engine.slower(1.0)
+            for server in servers:
+                server.slower(1.0)
         case "surge":
-            plans = world.scenario.requests
+            plans = simulation.scenario.requests
             if plans:
                 async with trio.open_nursery() as nursery:
-                    for k in range(min(int(fault.amount), 100)):
-                        like = plans[k % len(plans)]
+                    for index in range(min(int(fault.amount), 100)):
+                        template = plans[index % len(plans)]
                         plan = RequestPlan(
-                            at_s=fault.at_s + k / max(fault.amount, 1.0),
-                            router=like.router,
-                            protocol=like.protocol,
-                            machine=like.machine,
-                            rpc_class=like.rpc_class,
-                            deadline_s=like.deadline_s,
-                            prompt_tokens=like.prompt_tokens,
-                            output_tokens=like.output_tokens,
+                            at_s=fault.at_s + index / max(fault.amount, 1.0),
+                            router=template.router,
+                            protocol=template.protocol,
+                            machine=template.machine,
+                            rpc_class=template.rpc_class,
+                            deadline_s=template.deadline_s,
+                            prompt_tokens=template.prompt_tokens,
+                            output_tokens=template.output_tokens,
                         )
-                        nursery.start_soon(world.ask, f"s{fault.at_s:g}.{k}", plan)
+                        nursery.start_soon(simulation.send_request, f"s{fault.at_s:g}.{index}", plan)
         case "deploy":
-            zone = world.engines[fault.target % len(world.engines)].plan.zone
+            zone = simulation.servers[fault.target % len(simulation.servers)].plan.zone
             async with trio.open_nursery() as nursery:
-                for k, engine in enumerate(world.engines):
-                    if engine.plan.zone == zone and not engine.over:
-                        world.engines[k] = world.engine(engine.plan, True)
-                        nursery.start_soon(drain, world, engine)
-                        await trio.sleep(DEPLOY_STEP_S)
+                for index, server in enumerate(simulation.servers):
+                    if server.plan.zone == zone and not server.over:
+                        simulation.servers[index] = simulation.start_server(server.plan, True)
+                        nursery.start_soon(drain_server, simulation, server)
+                        await trio.sleep(DEPLOY_INTERVAL_S)
 
 
-async def list_fault(world: World, fault: FaultPlan) -> None:
-    discovery = world.discovery
+async def run_discovery_fault(simulation: Simulation, fault: FaultPlan) -> None:
+    discovery = simulation.discovery
     match fault.kind:
         case "list-late":
             discovery.directory.delay_s = fault.amount
@@ -180,12 +180,12 @@
         case "list-down":
             discovery.down()
             await trio.sleep(fault.for_s)
-            if discovery is world.discovery:
-                world.nursery.start_soon(discovery.serve, world.nursery)
+            if discovery is simulation.discovery:
+                simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-nonsense":
             lines = (b"{", b"[]", b'{"targets":[{}]}', b'{"rev":"x","targets":[]}', b"\xff\xfe" * 9)
             discovery.nonsense = [
-                lines[(k + fault.target) % len(lines)] for k in range(world.scenario.routers)
+                lines[(index + fault.target) % len(lines)] for index in range(simulation.scenario.routers)
             ]
             discovery.wake()
         case "list-silent":
@@ -194,23 +194,25 @@
             await trio.sleep(fault.for_s)
             discovery.silent = False
             discovery.down()
-            if discovery is world.discovery:
-                world.nursery.start_soon(discovery.serve, world.nursery)
+            if discovery is simulation.discovery:
+                simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-moved":
-            number = len([n for n in world.network.hosts if n.startswith("d")])
-            moved = VirtualDiscovery(world.network.host(f"d{number}", f"127.0.3.{number + 1}"))
-            moved.directory = discovery.directory
-            world.discovery = moved
-            world.nursery.start_soon(moved.serve, world.nursery)
-            for router in world.routers:
-                router.discovery = moved
+            host_count = len([n for n in simulation.network.hosts if n.startswith("d")])
+            new_discovery = VirtualDiscovery(
+                simulation.network.host(f"d{host_count}", f"127.0.3.{host_count + 1}")
+            )
+            new_discovery.directory = discovery.directory
+            simulation.discovery = new_discovery
+            simulation.nursery.start_soon(new_discovery.serve, simulation.nursery)
+            for router in simulation.routers:
+                router.discovery = new_discovery
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
             discovery.down()
 
 
-async def router_fault(world: World, fault: FaultPlan) -> None:
-    router = world.routers[fault.target]
+async def run_router_fault(simulation: Simulation, fault: FaultPlan) -> None:
+    router = simulation.routers[fault.target]
     match fault.kind:
         case "stop" | "kill":
             if router.ended.is_set():
@@ -218,56 +220,60 @@
             (router.stop if fault.kind == "stop" else router.kill)()
             await router.ended.wait()
             await trio.sleep(fault.for_s)
-            world.nursery.start_soon(router.run)
+            simulation.nursery.start_soon(router.run)
             await trio.sleep(0.01)
         case "sent-away":
-            await sent_away(world, router, fault.for_s)
+            await drain_router(simulation, router, fault.for_s)
         case "reload":
-            world.broken_config = bool(fault.target % 2)
+            simulation.is_config_broken = bool(fault.target % 2)
             router.system.deliver(signal.SIGHUP)
             await trio.sleep(0.1)
-            world.broken_config = False
+            simulation.is_config_broken = False
         case "clock":
             router.system.wall_ahead_s += fault.amount
 
 
-async def sent_away(world: World, router: Router, for_s: float) -> None:
-    """A drain call, and the call back, unless the process has ended meanwhile."""
-    program, life = router.program, router.life()
+async def drain_router(simulation: Simulation, router: Router, for_s: float) -> None:
+    """Drain a router with an operator's command, and resume it unless its process has ended meanwhile."""
+    program, incarnation = router.program, router.incarnation()
     if program is None or router.ended.is_set():
         return
-    if not program.operator_commands.drain().startswith("ok"):  # it is told to stop already
+    if not program.operator_commands.drain().startswith("ok"):  # it is stopping already
         return
     with trio.move_on_after(for_s):
-        await trio.sleep(EMPTY_S)
+        await trio.sleep(IDLE_DRAIN_S)
         while True:
             await trio.sleep(0.1)
-            if router.life() != life or program.lifecycle.stopping:
+            if router.incarnation() != incarnation or program.lifecycle.stopping:
                 return
             now = trio.current_time()
             clients = [c for front in program.fronts.values() for c in front.clients]
-            held = [c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > HELD_S]
-            if held:
-                text = f"{router.name} is drained and holds an idle connection: {held[0]!r}"
-                world.judge.violation("rest", text, router.name)
-    if router.life() == life and not router.ended.is_set():
+            idle_clients = [
+                c for c in clients if c.stage in (Stage.SILENT, Stage.IDLE) and now - c.since > MIN_IDLE_S
+            ]
+            if idle_clients:
+                text = f"{router.name} is drained and holds an idle connection: {idle_clients[0]!r}"
+                simulation.checker.report_violation("rest", text, router.name)
+    if router.incarnation() == incarnation and not router.ended.is_set():
         program.operator_commands.resume()
 
 
-async def partition(world: World, fault: FaultPlan) -> None:
-    a = f"r{fault.target}"
-    b = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
-    if b.startswith("e"):
-        k = int(b[1:]) if b[1:].isdigit() else 0
-        b = host_of(world, k).name
-    there = [(b, a)] if fault.how == "back" else [(a, b)]
-    ways = [(a, b), (b, a)] if fault.kind == "partition" else there
-    for way in ways:
-        world.network.cut(*way)
+async def run_partition(simulation: Simulation, fault: FaultPlan) -> None:
+    router_name = f"r{fault.target}"
+    peer_name = fault.other if fault.other.startswith(("e", "d", "c")) else f"e{fault.target}"
+    if peer_name.startswith("e"):
+        index = int(peer_name[1:]) if peer_name[1:].isdigit() else 0
+        peer_name = server_host(simulation, index).name
+    one_way = [(peer_name, router_name)] if fault.how == "back" else [(router_name, peer_name)]
+    directions = (
+        [(router_name, peer_name), (peer_name, router_name)] if fault.kind == "partition" else one_way
+    )
+    for direction in directions:
+        simulation.network.cut(*direction)
     await trio.sleep(fault.for_s)
-    for way in ways:
-        world.network.heal(*way)
+    for direction in directions:
+        simulation.network.heal(*direction)
 
 
-def host_of(world: World, number: int) -> Host:
-    return world.engines[number % len(world.engines)].host
+def server_host(simulation: Simulation, index: int) -> Host:
+    return simulation.servers[index % len(simulation.servers)].host
