--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -1,4 +1,4 @@
-"""One scenario, played to its end: the router's own program on the world's machines."""
+"""The simulation of one scenario: the router's own program on virtual hosts."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from .clients import GRPC_PORT, HTTP_PORT, Machine
 from .determinism import Guard, Passes, seeded, world_clock
 from .engines import VirtualEngine
-from .invariants import Judge, Violation
-from .library import Library
+from .invariants import InvariantChecker, Violation
+from .library import LibraryClients
 from .lists import VirtualDiscovery
 from .network import Network, Weather
-from .scenario import CLASSES, EnginePlan, RequestPlan, Scenario
+from .scenario import REQUEST_CLASSES, RequestPlan, Scenario, ServerPlan
 from .system import EPOCH, VirtualSystem
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
-DRAINED_S = 3.0  # a drained engine goes so long after its notice
-REST_S = 300.0  # virtual: a world that has not come to rest by then never does
-STOP_S = 75.0
-LAST_LINES = 12
-# What the program logs of its own faults, and of rules that it has seen itself break.
-FAULT_RECORDS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client")
+DRAINED_S = 3.0  # time between the announcement and the exit of a server that drains
+MAX_RUN_S = 300.0  # virtual time after which a simulation that has not come to rest is ended
+MAX_STOP_S = 75.0
+MAX_LAST_STEPS = 12
+# Marks of log lines with which the program reports its own faults, and rules that it has seen itself violate.
+FAULT_LOG_MARKS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client")
 
 
 @dataclass
-class Result:
-    """What a scenario came to. `digest` is of its whole trace."""
+class RunResult:
+    """The result of a scenario; `digest` covers its whole trace."""
 
     seed: int
     digest: str
@@ -53,35 +53,35 @@
     faults: dict[str, int]
     trace: list[str] = field(default_factory=list)
 
-    def last(self, violation: Violation) -> list[str]:
-        """The last events on the wires concerned, and what happened to machines, up to the violation."""
-        names = violation.wires
-        chosen: deque[str] = deque(maxlen=LAST_LINES)
+    def last_steps(self, violation: Violation) -> list[str]:
+        """Return the last trace lines before a violation that concern its connections, or faults."""
+        names = violation.pipes
+        last_lines: deque[str] = deque(maxlen=MAX_LAST_STEPS)
         for line in self.trace:
             if float(line.split(" ", 1)[0]) > violation.at_s + 1e-6:
                 break
             if not names or any(name in line for name in names) or "fault " in line:
-                chosen.append(line)
-        return list(chosen)
+                last_lines.append(line)
+        return list(last_lines)
 
 
 class Router:
-    """A router's process, its ends and its starts."""
+    """A router process, which may be stopped or killed and started again."""
 
-    def __init__(self, world: World, index: int) -> None:
-        self.world, self.index, self.name = world, index, f"r{index}"
-        self.host = world.network.host(self.name, f"127.0.1.{index + 1}")
+    def __init__(self, simulation: Simulation, index: int) -> None:
+        self.simulation, self.index, self.name = simulation, index, f"r{index}"
+        self.host = simulation.network.host(self.name, f"127.0.1.{index + 1}")
         self.system = VirtualSystem(self.host, 1000 + index)
         self.program: Program | None = None
         self.scope: trio.CancelScope | None = None
         self.ended = trio.Event()
-        self.discovery = world.discovery
+        self.discovery = simulation.discovery
 
     def config(self) -> Config:
-        world, scenario = self.world, self.world.scenario
-        known = self.discovery.directory.whole(trio.current_time())
-        world.judge.list_given(self.name, known["targets"], True)
-        settings = decode_settings(world.settings(self.index))
+        simulation, scenario = self.simulation, self.simulation.scenario
+        published = self.discovery.directory.full_list(trio.current_time())
+        simulation.checker.record_targets(self.name, published["targets"], True)
+        settings = decode_settings(simulation.settings(self.index))
         kserve = Kserve(f"{self.host.address}:{GRPC_PORT}", ("desc",), "alt-text", "acme", 5.0)
         return Config(
             self.name,
@@ -90,65 +90,70 @@
             scenario.seed * 16 + self.index,
             scenario.sockets,
             settings,
-            decode_result(known, ListKind.CACHED),
+            decode_result(published, ListKind.CACHED),
             Operator(kserve=kserve, server_protocols=("http", "kserve")),
             scenario.memory_mb,
         )
 
-    def read_again(self) -> Config:
+    def reread_config(self) -> Config:
+        """Return the configuration after a SIGHUP; ValueError while a fault makes it unreadable."""
         program = self.program
         assert program is not None
-        if self.world.broken_config:
+        if self.simulation.is_config_broken:
             raise ValueError("not readable")
         address = self.discovery.address
         return replace(program.config, discovery=address, discovery_in_file=address)
 
     async def run(self) -> None:
-        """One life of the process."""
-        judge = self.world.judge
-        judge.lives[self.name] = judge.lives.get(self.name, 0) + 1
+        """Run the process from its start to its end."""
+        checker = self.simulation.checker
+        checker.incarnations[self.name] = checker.incarnations.get(self.name, 0) + 1
         self.ended = trio.Event()
-        self.program = Program(self.config(), self.read_again, self.system)
+        self.program = Program(self.config(), self.reread_config, self.system)
         try:
             with trio.CancelScope() as self.scope:
                 await self.program.run()
         except Exception as error:
-            if self.life() in judge.killed:  # its sockets went before its tasks did
+            if self.incarnation() in checker.killed_at:  # its sockets were closed before its tasks ended
                 return
-            judge.violation("fault", f"{self.name} failed: {faults_in(error)}", self.name)
+            checker.report_violation("fault", f"{self.name} failed: {describe_error(error)}", self.name)
         finally:
             self.host.close_all()
-            self.world.network.record(f"ended {self.name}")
+            self.simulation.network.record(f"ended {self.name}")
             self.ended.set()
 
-    def life(self) -> tuple[str, int]:
-        return self.name, self.world.judge.lives.get(self.name, 0)
+    def incarnation(self) -> tuple[str, int]:
+        """Return the key of the current process: the router's name and the number of its starts."""
+        return self.name, self.simulation.checker.incarnations.get(self.name, 0)
 
     def stop(self) -> None:
-        self.world.judge.stop_requested.setdefault(self.life(), trio.current_time())
+        self.simulation.checker.stop_requested_at.setdefault(self.incarnation(), trio.current_time())
         self.system.deliver(signal.SIGTERM)
 
     def kill(self) -> None:
-        self.world.judge.killed.setdefault(self.life(), trio.current_time())
+        self.simulation.checker.killed_at.setdefault(self.incarnation(), trio.current_time())
         self.host.close_all()
         if self.scope is not None:
             self.scope.cancel()
 
 
-def faults_in(error: BaseException) -> str:
+def describe_error(error: BaseException) -> str:
+    """Return the first exception of a group, with the place where it was raised, as a text."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
-    at = error.__traceback__
-    while at is not None and at.tb_next is not None:
-        at = at.tb_next
-    where = (
-        f" at {at.tb_frame.f_code.co_filename.rpartition('/')[2]}:{at.tb_lineno}" if at is not None else ""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    location = (
+        f" at {traceback.tb_frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}"
+        if traceback is not None
+        else ""
     )
-    return f"{type(error).__name__}: {error}{where}"
+    return f"{type(error).__name__}: {error}{location}"
 
 
-class World:
-    """One run of a scenario: its hosts, peers and routers."""
+class Simulation:
+    """One run of a scenario: its hosts, servers, clients, discovery and routers."""
 
     def __init__(self, scenario: Scenario, keep_trace: bool = False) -> None:
         self.scenario = scenario
@@ -156,36 +161,37 @@
         self._hash = hashlib.blake2b(digest_size=16)
         self.trace: list[str] = []
         self.keep_trace = keep_trace
-        plan = scenario.weather
+        network_plan = scenario.weather
         weather = Weather(
-            plan.delay_ms / 1000,
-            plan.jitter_ms / 1000,
+            network_plan.delay_ms / 1000,
+            network_plan.jitter_ms / 1000,
             math.inf,
-            plan.loss,
-            plan.pieces,
-            plan.buffer,
-            plan.reset_drops,
+            network_plan.loss,
+            network_plan.pieces,
+            network_plan.buffer,
+            network_plan.reset_drops,
         )
         self.network = Network(self.rng, weather, self.record)
-        self.judge = Judge(self.network)
+        self.checker = InvariantChecker(self.network)
         self.discovery = VirtualDiscovery(self.network.host("d0", "127.0.3.1"))
-        self.engines: list[VirtualEngine] = []
-        self.broken_config = False
+        self.servers: list[VirtualEngine] = []
+        self.is_config_broken = False
         self.faults: Counter[str] = Counter()
-        self.uids = 0
-        self.machines: dict[int, Machine] = {}
+        self.target_count = 0
+        self.client_hosts: dict[int, Machine] = {}
         self.nursery: trio.Nursery
         self.routers: list[Router] = []
-        self.library = Library(self)
+        self.library = LibraryClients(self)
 
     def record(self, line: str) -> None:
+        """Add a step to the trace, and report a log line about a fault of the program as a violation."""
         text = f"{trio.current_time():.9f} {line}"
         self._hash.update(text.encode())
         self._hash.update(b"\n")
         if self.keep_trace:
             self.trace.append(text)
-        if line.startswith("log ") and any(word in line for word in FAULT_RECORDS):
-            self.judge.violation("fault", line[:400], line.split(" ")[1])
+        if line.startswith("log ") and any(word in line for word in FAULT_LOG_MARKS):
+            self.checker.report_violation("fault", line[:400], line.split(" ")[1])
 
     # The fleet.
 
@@ -199,8 +205,8 @@
             "discovery": "ask",
             "tick_s": 0.002,
             "categories": [
-                {"name": n, "aim_s": aim, "deadline_s": deadline, "points": worth, "stream": True}
-                for n, aim, deadline, worth in CLASSES
+                {"name": name, "aim_s": aim_s, "deadline_s": deadline_s, "points": points, "stream": True}
+                for name, aim_s, deadline_s, points in REQUEST_CLASSES
             ],
             "policy_limits": {
                 "max_attempts": 6 if self.scenario.probes else 2,
@@ -224,12 +230,14 @@
         }
 
     def zones(self) -> list[str]:
-        return [f"z{k}" for k in range(max(p.zone for p in self.scenario.engines) + 1)]
-
-    def engine(self, plan: EnginePlan, cold: bool, host_of: VirtualEngine | None = None) -> VirtualEngine:
-        """Start an engine, on a machine of its own or in another's place, and publish it."""
-        now, number = trio.current_time(), self.uids
-        self.uids += 1
+        return [f"z{index}" for index in range(max(p.zone for p in self.scenario.engines) + 1)]
+
+    def start_server(
+        self, plan: ServerPlan, cold: bool, replaced: VirtualEngine | None = None
+    ) -> VirtualEngine:
+        """Start a server, on a host of its own or on that of a replaced server, and publish it."""
+        now, index = trio.current_time(), self.target_count
+        self.target_count += 1
         settings = EngineSettings(
             batch=plan.batch,
             queue=8,
@@ -241,146 +249,160 @@
             fall_multiple=FALL_MULTIPLE,
             fall_window_s=FALL_WINDOW_S,
         )
-        if host_of is not None:
-            host = host_of.host
+        if replaced is not None:
+            host = replaced.host
         else:
-            host = self.network.host(f"e{number}", f"127.0.2.{number + 1}")
-        started = now if cold else now - 3600.0
-        made = VirtualEngine(self.judge, host, f"u{number}", settings, started)
-        made.plan = plan
-        self.nursery.start_soon(made.serve, self.nursery)
+            host = self.network.host(f"e{index}", f"127.0.2.{index + 1}")
+        started_at = now if cold else now - 3600.0
+        server = VirtualEngine(self.checker, host, f"u{index}", settings, started_at)
+        server.plan = plan
+        self.nursery.start_soon(server.serve, self.nursery)
         entry = Entry(
-            made.uid,
-            made.endpoint,
+            server.uid,
+            server.endpoint,
             self.zones()[plan.zone],
             "gpu",
-            number // 2,
-            boot_ms=int((EPOCH + started) * 1000),
+            index // 2,
+            boot_ms=int((EPOCH + started_at) * 1000),
         )
         self.discovery.publish(entry)
-        return made
+        return server
 
     # A run.
 
-    async def main(self) -> None:
-        with trio.move_on_after(REST_S) as limit:
+    async def run(self) -> None:
+        """Run the scenario, then check the rules that concern the whole run."""
+        with trio.move_on_after(MAX_RUN_S) as scope:
             async with trio.open_nursery() as self.nursery:
-                await self._run()
+                await self._run_phases()
                 self.nursery.cancel_scope.cancel()
-        if limit.cancelled_caught:
-            self.judge.violation("rest", f"the world has not come to rest in {REST_S:g} s")
-        self.judge.conclude()
+        if scope.cancelled_caught:
+            self.checker.report_violation("rest", f"the world has not come to rest in {MAX_RUN_S:g} s")
+        self.checker.check_at_end()
         self.record("end")
 
-    async def _run(self) -> None:
-        from .script import play  # the faults know the world, and the world what they need of it
+    async def _run_phases(self) -> None:
+        from .script import run_fault  # a cycle: script imports this module for its types
 
         scenario, nursery = self.scenario, self.nursery
         nursery.start_soon(self.discovery.serve, nursery)
-        self.engines = [self.engine(plan, plan.cold) for plan in scenario.engines]
-        self.routers = [Router(self, k) for k in range(scenario.routers)]
-        async with trio.open_nursery() as acts:
+        self.servers = [self.start_server(plan, plan.cold) for plan in scenario.engines]
+        self.routers = [Router(self, index) for index in range(scenario.routers)]
+        async with trio.open_nursery() as workload:
             for router in self.routers:
                 nursery.start_soon(router.run)
             await trio.sleep(0.01)
             self.library.open(nursery)
-            for k, plan in enumerate(scenario.requests):
-                acts.start_soon(self.ask, f"q{k}", plan)
+            for index, plan in enumerate(scenario.requests):
+                workload.start_soon(self.send_request, f"q{index}", plan)
             for fault in scenario.faults:
-                acts.start_soon(play, self, fault)
-        await self._rest()
-        await self._stop()
+                workload.start_soon(run_fault, self, fault)
+        await self._check_idle()
+        await self._stop_routers()
 
-    async def ask(self, key: str, plan: RequestPlan) -> None:
+    async def send_request(self, key: str, plan: RequestPlan) -> None:
         await trio.sleep_until(plan.at_s)
         address = self.routers[plan.router].host.address
         if plan.client == "library":
-            await self.library.ask(plan)
+            await self.library.send_request(plan)
             return
-        machine = self.machines.get(plan.machine)
-        if machine is None:
+        client_host = self.client_hosts.get(plan.machine)
+        if client_host is None:
             host = self.network.host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
-            machine = self.machines[plan.machine] = Machine(
+            client_host = self.client_hosts[plan.machine] = Machine(
                 host, rng=random.Random(f"{self.scenario.seed} {host.name}")
             )
-        await machine.ask(key, plan, address, self.nursery)
+        await client_host.ask(key, plan, address, self.nursery)
 
-    async def _rest(self) -> None:
-        """All clients have what they came for: what the routers hold must be back to nothing."""
+    async def _check_idle(self) -> None:
+        """Close the clients, wait until all requests are over, and check that nothing is left in routers."""
         await self.library.close()
-        for machine in self.machines.values():
-            machine.close()
-        await trio.sleep(max(deadline for _, _, deadline, _ in CLASSES) + 0.6)
+        for client_host in self.client_hosts.values():
+            client_host.close()
+        await trio.sleep(max(deadline for _, _, deadline, _ in REQUEST_CLASSES) + 0.6)
         for router in self.routers:
             program = router.program
             if program is None or router.ended.is_set():
                 continue
             core, gateway = program.core, program.core._gateway
-            left = {
+            leftovers = {
                 "open RPCs": core.open_rpcs,
                 "names": core._names,
                 "requests in the module": gateway.requests,
                 "held in the module": gateway.awaiting_probe,
-                "timers": [what for what in core._timers if what != "ask"],
+                "timers": [timer for timer in core._timers if timer != "ask"],
                 "attempts of engines": [s for s in core.subchannels.values() if s._in_flight],
                 "busy replicas": [r for r in gateway.replicas.values() if r.open_attempts],
             }
-            for what, held in left.items():
-                if held:
-                    self.judge.violation("leak", f"{router.name} holds {len(held)} {what}", router.name)
+            for description, items in leftovers.items():
+                if items:
+                    self.checker.report_violation(
+                        "leak", f"{router.name} holds {len(items)} {description}", router.name
+                    )
             if program.payloads.used:
-                self.judge.violation(
+                self.checker.report_violation(
                     "leak", f"{router.name} counts {program.payloads.used} bytes of payloads"
                 )
             clients = sum(len(front.clients) for front in program.fronts.values())
             if clients:
-                self.judge.violation("leak", f"{router.name} has {clients} connections of clients that left")
+                self.checker.report_violation(
+                    "leak", f"{router.name} has {clients} connections of clients that left"
+                )
 
-    async def _stop(self) -> None:
+    async def _stop_routers(self) -> None:
         for router in self.routers:
             if not router.ended.is_set():
                 router.stop()
         for router in self.routers:
-            with trio.move_on_after(STOP_S) as scope:
+            with trio.move_on_after(MAX_STOP_S) as scope:
                 await router.ended.wait()
             if scope.cancelled_caught:
-                self.judge.violation("rest", f"{router.name} was told to stop and did not end", router.name)
+                self.checker.report_violation(
+                    "rest", f"{router.name} was told to stop and did not end", router.name
+                )
                 continue
-            if router.program is None or router.life() in self.judge.killed:
+            if router.program is None or router.incarnation() in self.checker.killed_at:
                 continue
             for use, count in router.program.budget.used.items():
                 if count:
-                    self.judge.violation("leak", f"{router.name} counts {count} descriptors for {use.value}s")
+                    self.checker.report_violation(
+                        "leak", f"{router.name} counts {count} descriptors for {use.value}s"
+                    )
+
 
+def run_scenario(
+    scenario: Scenario, keep_trace: bool = False, on_start: Callable[[Simulation], None] | None = None
+) -> RunResult:
+    """Run a scenario; the same one has the same result in every process and on every machine.
 
-def play(
-    scenario: Scenario, keep_trace: bool = False, before: Callable[[World], None] | None = None
-) -> Result:
-    """Play it; the same scenario comes to the same result everywhere."""
-    world = World(scenario, keep_trace)
-    passes = Passes(lambda: world.judge.violation("rest", "the world stands still and does not rest"))
-    if before is not None:
-        before(world)
+    `on_start` is called with the simulation before it starts.
+    """
+    simulation = Simulation(scenario, keep_trace)
+    passes = Passes(
+        lambda: simulation.checker.report_violation("rest", "the world stands still and does not rest")
+    )
+    if on_start is not None:
+        on_start(simulation)
     ended_at = 0.0
 
     async def main() -> None:
         nonlocal ended_at
         with passes.scope:
-            await world.main()
+            await simulation.run()
         ended_at = trio.current_time()
 
-    clock = world_clock(world.network.next_at, world.network.advance)
+    clock = world_clock(simulation.network.next_at, simulation.network.advance)
     with seeded(scenario.seed), Guard(), suppress(KeyboardInterrupt):
         trio.run(main, clock=clock, instruments=[passes])
-    judge = world.judge
-    faults = dict(sorted(world.faults.items()))
-    return Result(
+    checker = simulation.checker
+    faults = dict(sorted(simulation.faults.items()))
+    return RunResult(
         scenario.seed,
-        world._hash.hexdigest(),
-        len(judge.rpcs),
-        judge.count,
+        simulation._hash.hexdigest(),
+        len(checker.rpcs),
+        checker.attempt_count,
         round(ended_at, 6),
-        judge.violations,
+        checker.violations,
         faults,
-        world.trace,
+        simulation.trace,
     )
