--- a/sorreldock/protocol/http/front.py
+++ b/sorreldock/protocol/http/front.py
@@ -155,9 +155,8 @@
                     await self.close_gracefully()
                     return
                 self.parser.start_next_cycle()
-                if (
-                    self.front.is_closing and not self.has_next_request()
-                ):  # a request that has begun is answered
+                # A request that has begun is still answered.
+                if self.front.is_closing and not self.has_next_request():
                     await self.pass_to_successor()
                     if self.front.pass_connection is None:
                         await self.close_gracefully()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -449,10 +449,8 @@
     server = ScriptedServer()
     discovery = Discovery(server)
     discovery.indent = 4
-    discovery.malformed_lines = [
-        b'{"rev": 2,\n "targets": [{\n',
-        b"{\n}]",
-    ]  # truncated; one closing bracket too many
+    # The first is truncated, the second has a closing bracket too many.
+    discovery.malformed_lines = [b'{"rev": 2,\n "targets": [{\n', b"{\n}]"]
     contract = {**SETTINGS["contract"], "must_ask_in_s": 0.2}
     if how == "push":
         del contract["must_ask_in_s"]
@@ -549,9 +547,8 @@
         program.lifecycle.stop_requested.set()
         while program.lifecycle.phase is not Phase.LINGERING:
             await trio.sleep(0.005)
-        assert (
-            await router.send_request("GET", "/up")
-        ).status == 503  # still accepts connections, but is not ready
+        # The router still accepts connections, but is not ready.
+        assert (await router.send_request("GET", "/up")).status == 503
         late = await router.start_post(x_trace_id="late")
         while program.lifecycle.phase is not Phase.DRAINING:
             await trio.sleep(0.005)
