--- a/sorreldock/lab/simulation/clients.py
+++ b/sorreldock/lab/simulation/clients.py
@@ -15,17 +15,17 @@
 from ...kserve.framing import frame as message_frame
 from .frames import Writer
 from .network import Host, VirtualSocket
-from .readers import HEADERS, End, FrameReader, Head, HttpReader, NotReadable
+from .readers import HEADERS, End, FrameReader, Head, HttpReader, ParseError
 from .scenario import RequestPlan
 
 HTTP_PORT, GRPC_PORT = 8080, 8081
 DIAL_S = 2.0
 PATIENCE_S = 1.5  # beyond the deadline: the router's answer has a way to go
 SILENCE_S = 8.0
-Gone = (OSError, trio.ClosedResourceError, NotReadable)
+Gone = (OSError, trio.ClosedResourceError, ParseError)
 
 
-def body_of(plan: RequestPlan) -> bytes:
+def encode_body(plan: RequestPlan) -> bytes:
     chat = {
         "max_tokens": plan.output_tokens,
         "prompt_tokens": plan.prompt_tokens,
@@ -35,7 +35,7 @@
 
 
 def http_request(key: str, plan: RequestPlan) -> bytes:
-    body = body_of(plan)
+    body = encode_body(plan)
     shared = plan.prompt_tokens // 2 if plan.prefix else 0
     props = f"prefix={plan.prefix},prompt_len={plan.prompt_tokens},prefix_len={shared}"
     head = (
@@ -66,7 +66,7 @@
 
 
 def grpc_message(plan: RequestPlan, key: str) -> bytes:
-    body = body_of(plan)
+    body = encode_body(plan)
     request = pb.ModelInferRequest(
         model_name="desc", id=key, raw_input_contents=[len(body).to_bytes(4, "little") + body]
     )
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Machine:
+class ClientHost:
     """One machine of clients, which keeps connections that are at rest."""
 
     host: Host
@@ -95,7 +95,7 @@
             raise
         return sock
 
-    async def ask(self, key: str, plan: RequestPlan, address: str, nursery: trio.Nursery) -> None:
+    async def send_request(self, key: str, plan: RequestPlan, address: str, nursery: trio.Nursery) -> None:
         try:
             if plan.client == "bad":
                 await self._bad(plan, key, address)
@@ -107,7 +107,7 @@
             pass  # the router has gone, or the network: the oracles know which
 
     def close(self) -> None:
-        self.host.close_all()
+        self.host.close_sockets()
 
     async def _write(self, sock: VirtualSocket, data: bytes, plan: RequestPlan) -> None:
         if plan.client != "trickling":
@@ -255,7 +255,7 @@
                     return
                 for got in reader.feed(data):
                     if got.kind == HEADERS:
-                        reader.fields(got)
+                        reader.decode_fields(got)
                     elif got.kind == 7:
                         self.going = True
                     self.out += self.writer.reply(got)
--- a/sorreldock/lab/simulation/determinism.py
+++ b/sorreldock/lab/simulation/determinism.py
@@ -31,12 +31,12 @@
 MOST_PASSES = 20_000  # of the scheduler, at one moment of the world
 
 
-class BehindTheSeam(RuntimeError):
+class NondeterminismError(RuntimeError):
     """The router has read the machine's clock, drawn from its randomness, or started a thread."""
 
 
 @contextmanager
-def seeded(seed: int) -> Iterator[None]:
+def seeded_scheduler(seed: int) -> Iterator[None]:
     """Let trio order what runs at one moment by the seed alone. (The switch is the one that trio keeps for
     Hypothesis.) The collector rests: what it finds, and when, depends on all that ran before.
     """
@@ -54,7 +54,7 @@
             gc.enable()
 
 
-def world_clock(next_at: Callable[[], float], advance: Callable[[float], None]) -> MockClock:
+def virtual_clock(next_at: Callable[[], float], advance: Callable[[float], None]) -> MockClock:
     """Virtual time: when all tasks wait, it jumps to the next deadline or the network's next event, whichever
     is first. trio lets no clock but its own MockClock jump, and none derive from it: this one's methods are
     replaced, since its own reads the machine's clock each time and knows of deadlines alone.
@@ -84,7 +84,7 @@
     return clock
 
 
-class Guard:
+class NondeterminismGuard:
     """While it is open, no module of the router may reach past its `System`."""
 
     PLACES: tuple[tuple[Any, str], ...] = (
@@ -98,7 +98,7 @@
         (trio.to_thread, "run_sync"),
     )
 
-    def __enter__(self) -> Guard:
+    def __enter__(self) -> NondeterminismGuard:
         self._were = [(module, name, getattr(module, name)) for module, name in self.PLACES]
         for module, name, real in self._were:
             setattr(module, name, self._watched(f"{module.__name__}.{name}", real))
@@ -110,7 +110,7 @@
             caller = sys._getframe(1)
             module = str(caller.f_globals.get("__name__", ""))
             if module.startswith(WATCHED):
-                raise BehindTheSeam(f"{what} in {module}, line {caller.f_lineno}")
+                raise NondeterminismError(f"{what} in {module}, line {caller.f_lineno}")
             return real(*args, **kwargs)
 
         return watched
@@ -122,7 +122,7 @@
             setattr(module, name, real)
 
 
-class Passes(trio.abc.Instrument):
+class StallDetector(trio.abc.Instrument):
     """Ends a run in which the scheduler goes round and time stands still."""
 
     def __init__(self, stuck: Callable[[], None]) -> None:
--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -17,13 +17,13 @@
 from .frames import Writer
 from .invariants import Judge
 from .network import Host, VirtualSocket
-from .readers import DATA, HEADERS, End, FrameReader, Head, HttpReader, NotReadable, Part
+from .readers import DATA, HEADERS, End, FrameReader, Head, HttpReader, ParseError, Part
 from .scenario import EnginePlan
 
 PORT = 9000
 HEAD = [(":status", "200"), ("content-type", "application/grpc")]
 AT_ONCE = ("head", "empty", "garbage", "lost")  # spoils that stand in for the first event
-Gone = (OSError, trio.ClosedResourceError, NotReadable)
+Gone = (OSError, trio.ClosedResourceError, ParseError)
 
 
 class Pending:
@@ -54,9 +54,9 @@
     ) -> None:
         self.judge, self.host, self.uid, self.settings = judge, host, uid, settings
         self.model = Engine(settings, started_at)
-        self.hung = self.full = self.over = False
+        self.hangs = self.full = self.ended = False
         self.paused_until = 0.0
-        self.spoil, self.spoils = "", 0
+        self.spoil_kind, self.spoils_left = "", 0
         self.plan = EnginePlan()
         self._pending: dict[str, Pending] = {}
         self._due = math.inf
@@ -78,18 +78,18 @@
 
     def end(self) -> None:
         """Its process has ended: the kernel closes what it held."""
-        self.over = True
+        self.ended = True
         for pending in self._pending.values():
             pending.put(None)
-        self.host.close_all()
+        self.host.close_sockets()
 
-    def slower(self, factor: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         self.model.settings = msgspec.structs.replace(self.model.settings, slow=factor)
 
-    def failing(self, share: float) -> None:
+    def set_fail_share(self, share: float) -> None:
         self.model.settings = msgspec.structs.replace(self.model.settings, fail_share=share)
 
-    def pause(self, until: float) -> None:
+    def pause_until(self, until: float) -> None:
         self.paused_until = max(self.paused_until, until)
 
     # Its model.
@@ -160,10 +160,10 @@
         return Job(f"{self._count}", prompt, output)
 
     def take_spoil(self) -> str:
-        if self.spoils <= 0:
+        if self.spoils_left <= 0:
             return ""
-        self.spoils -= 1
-        return self.spoil
+        self.spoils_left -= 1
+        return self.spoil_kind
 
     async def until_left(self, sock: VirtualSocket) -> None:
         while await sock.recv():
@@ -233,9 +233,9 @@
         """Answer a request; tells whether the connection goes on."""
         engine, sock = self.engine, self.sock
         await engine.unpaused()
-        if not head.start.startswith(b"POST "):
+        if not head.start_line.startswith(b"POST "):
             return await self.plain("200 OK")
-        if engine.hung:
+        if engine.hangs:
             await engine.until_left(sock)
             return False
         job = engine.job(body)
@@ -320,7 +320,7 @@
             out = b""
             for got in reader.feed(data):
                 if got.kind == HEADERS:
-                    paths[got.stream], bodies[got.stream] = reader.fields(got).get(":path", ""), b""
+                    paths[got.stream], bodies[got.stream] = reader.decode_fields(got).get(":path", ""), b""
                 elif got.kind == DATA and got.stream in bodies:
                     bodies[got.stream] += got.data()
                 out += self.writer.reply(got)
@@ -343,7 +343,7 @@
     async def answer(self, stream: int, path: str, body: bytes) -> bool:
         engine, sock = self.engine, self.sock
         await engine.unpaused()
-        if engine.hung:
+        if engine.hangs:
             await engine.until_left(sock)
             return False
         request = pb.ModelInferRequest.FromString(body[5:])
--- a/sorreldock/lab/simulation/frames.py
+++ b/sorreldock/lab/simulation/frames.py
@@ -7,7 +7,7 @@
 
 import hpack
 
-from .readers import DATA, END_STREAM, GOAWAY, HEADERS, PING, PREFACE, RESET, SETTINGS, Frame
+from .readers import DATA, END_STREAM, GOAWAY, HEADERS, PING, PREFACE, RST_STREAM, SETTINGS, Frame
 
 WINDOW_UPDATE = 8
 END_HEADERS = 0x4
@@ -45,7 +45,7 @@
 
     @staticmethod
     def reset(stream: int, code: int) -> bytes:
-        return frame(RESET, 0, stream, struct.pack(">I", code))
+        return frame(RST_STREAM, 0, stream, struct.pack(">I", code))
 
     @staticmethod
     def goaway(last: int, code: int) -> bytes:
--- a/sorreldock/lab/simulation/invariants.py
+++ b/sorreldock/lab/simulation/invariants.py
@@ -211,7 +211,7 @@
             return
         if min(gone, killed) <= rpc.deadline or blocked:
             return
-        if tap.closed_at is not None and tap.incoming.read < rpc.end:
+        if tap.closed_at is not None and tap.incoming.bytes_read < rpc.end:
             stop = self.stop_requested.get(tap.life, float("inf"))
             crossed = rpc.arrived_at >= stop + TAKEN_AFTER_STOP_S - CROSSING_S
             if not rpc.newcomer or crossed:
@@ -236,7 +236,7 @@
                 self.violation("unchanged", f"{rpc.key}: not what an engine sent", *wires)
             elif source.whole and tap.left_at is None and tap.life not in self.killed:
                 left = rpc.key in tap.stream_left
-                if not left and not stalled and not tap.out.broken:
+                if not left and not stalled and not tap.out.reset_by_reader:
                     self.violation("whole", f"{rpc.key}: came whole, and was broken off", *wires, source.wire)
             elif self._cut_short(rpc, source) and not stalled:
                 self.violation("whole", f"{rpc.key}: the router broke it off", *wires, source.wire)
@@ -251,7 +251,7 @@
         if (tap.left_at is not None and tap.left_at <= over) or rpc.key in tap.stream_left:
             return False
         heard = source.parts[-1][1] if source.parts else source.sent_at
-        return over < heard + SILENT_S and not tap.out.broken
+        return over < heard + SILENT_S and not tap.out.reset_by_reader
 
     def _at_once(self, rpc: Rpc, source: Attempt) -> None:
         passed, k, position = 0, -1, 0
--- a/sorreldock/lab/simulation/library.py
+++ b/sorreldock/lab/simulation/library.py
@@ -9,7 +9,7 @@
 
 from ...client import Client, ClientError, ClientSettings, Request
 from ...client.sockets import ConnectionLost, DialFailed, Socket
-from .clients import GRPC_PORT, HTTP_PORT, body_of
+from .clients import GRPC_PORT, HTTP_PORT, encode_body
 from .network import Host, VirtualSocket
 from .scenario import RequestPlan
 
@@ -45,7 +45,7 @@
 
     def unread_by_peer(self) -> bool:
         pipe = self._virtual.outbox
-        return not self.all_sent or pipe is None or pipe.broken or pipe.reader_gone
+        return not self.all_sent or pipe is None or pipe.reset_by_reader or pipe.reader_closed
 
     def is_readable(self) -> bool:
         return self._virtual.closed or self._virtual.is_readable()
@@ -91,7 +91,7 @@
         if made is not None:
             return made
         if self._host is None:
-            self._host = self.world.network.host("c90", "127.0.4.91")
+            self._host = self.world.network.add_host("c90", "127.0.4.91")
         port = HTTP_PORT if protocol == "http" else GRPC_PORT
         routers = [f"{router.host.address}:{port}" for router in self.world.routers]
         seed = f"{self.world.scenario.seed} library {protocol}"
@@ -115,7 +115,14 @@
     async def ask(self, plan: RequestPlan) -> None:
         client = await self._client(plan.protocol)
         request = Request(
-            plan.rpc_class, body_of(plan), "acme", "", plan.prefix, plan.prompt_tokens, 0, plan.output_tokens
+            plan.rpc_class,
+            encode_body(plan),
+            "acme",
+            "",
+            plan.prefix,
+            plan.prompt_tokens,
+            0,
+            plan.output_tokens,
         )
         try:
             async with client.stream(request, timeout_s=plan.deadline_s) as answer:
--- a/sorreldock/lab/simulation/lists.py
+++ b/sorreldock/lab/simulation/lists.py
@@ -8,7 +8,7 @@
 
 from ..directory import Directory, Entry
 from .network import Host, VirtualSocket
-from .readers import Head, HttpReader, NotReadable
+from .readers import Head, HttpReader, ParseError
 
 PORT = 7000
 KEEP_ALIVE_S = 2.0
@@ -21,7 +21,7 @@
         self.host = host
         self.directory = Directory()
         self.stale = self.silent = False
-        self.nonsense: list[bytes] = []  # the next lines, one a watch
+        self.malformed_lines: list[bytes] = []  # the next lines, one a watch
         self._told = trio.Event()
 
     @property
@@ -30,24 +30,24 @@
 
     def publish(self, entry: Entry) -> None:
         self.directory.publish(trio.current_time(), entry)
-        self.wake()
+        self.notify_watches()
 
-    def state(self, uid: str, state: str) -> None:
+    def set_state(self, uid: str, state: str) -> None:
         self.directory.state(trio.current_time(), uid, state)
-        self.wake()
+        self.notify_watches()
 
-    def wake(self) -> None:
+    def notify_watches(self) -> None:
         self._told.set()
         self._told = trio.Event()
 
     async def serve(self, nursery: trio.Nursery) -> None:
         await self.host.serve(PORT, self._attend, nursery)
 
-    def down(self) -> None:
+    def reset_connections(self) -> None:
         """Its port is closed, and its watches are reset."""
         for sock in list(self.host.sockets):
             sock.abort()
-        self.wake()
+        self.notify_watches()
 
     async def _attend(self, sock: VirtualSocket) -> None:
         try:
@@ -55,9 +55,9 @@
             while data := await sock.recv():
                 for item in reader.feed(data):
                     if isinstance(item, Head):
-                        await self._watch(sock, item.start)
+                        await self._watch(sock, item.start_line)
                         return
-        except (OSError, trio.ClosedResourceError, NotReadable):
+        except (OSError, trio.ClosedResourceError, ParseError):
             pass
         finally:
             sock.close()
@@ -73,8 +73,8 @@
         first = True
         while not sock.closed and not sock.is_readable():
             told = self._told
-            if self.nonsense:
-                line = self.nonsense.pop() + b"\n"
+            if self.malformed_lines:
+                line = self.malformed_lines.pop() + b"\n"
             elif self.stale:
                 line = b"\n"
             else:
--- a/sorreldock/lab/simulation/network.py
+++ b/sorreldock/lab/simulation/network.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Weather:
+class NetworkConditions:
     """What holds on all ways. Times in seconds, rates in bytes a second, shares from 0 to 1."""
 
     delay_s: float = 0.001
@@ -57,7 +57,7 @@
 
     def __init__(self, network: Network, name: str, address: str) -> None:
         self.network, self.name, self.address = network, name, address
-        self.up, self.deaf = True, False
+        self.up, self.drops_syns = True, False
         self.eager = not name.startswith("r")
         self.listeners: dict[int, VirtualSocket] = {}
         self.sockets: dict[VirtualSocket, None] = {}
@@ -88,24 +88,24 @@
                 return
             nursery.start_soon(attend, sock)
 
-    def close_all(self) -> None:
+    def close_sockets(self) -> None:
         """Its processes have died: the kernel closes what they held."""
         for sock in list(self.sockets):
             sock.close()
 
-    def vanish(self) -> None:
+    def go_offline(self) -> None:
         """No word more from it: what is sent to it is lost."""
         self.network.record(f"vanish {self.name}")
         self.up = False
 
-    def come_back(self) -> None:
+    def come_back_online(self) -> None:
         """Up again, knowing nothing of its connections."""
         for sock in list(self.sockets):
             sock.forget()
         self.up = True
         self.network.record(f"back {self.name}")
 
-    def reset_all(self, other: Host | None = None) -> None:
+    def reset_connections(self, other: Host | None = None) -> None:
         """Something between has reset the connections: both ends see it."""
         for sock in list(self.sockets):
             if sock.outbox is not None and (other is None or sock.outbox.dst is other):
@@ -120,10 +120,12 @@
     def __init__(self, network: Network, name: str, src: Host, dst: Host) -> None:
         self.network, self.name, self.src, self.dst = network, name, src, dst
         self.capacity = network.weather.buffer
-        self.sent = self.read = 0
+        self.bytes_written = self.bytes_read = 0
         self.buffer = bytearray()
-        self.fin = self.reset = self.broken = self.shut = self.reader_gone = False
-        self.dropped = False  # a reset took with it what had arrived and was unread
+        self.fin_received = self.reset_received = self.reset_by_reader = self.shut = self.reader_closed = (
+            False
+        )
+        self.unread_discarded = False  # a reset took with it what had arrived and was unread
         self.latest = 0.0
         self.held: deque[Item] = deque()  # behind a partition
         self.readers, self.writers = trio.lowlevel.ParkingLot(), trio.lowlevel.ParkingLot()
@@ -138,7 +140,7 @@
         self._marks: deque[tuple[int, Callable[[], None]]] = deque()
 
     def write(self, data: bytes) -> None:
-        self.sent += len(data)
+        self.bytes_written += len(data)
         self.network.record(f"write {self.name} {len(data)} {zlib.crc32(data):08x}")
         if self.on_write is not None:
             self.on_write(data)
@@ -166,7 +168,7 @@
     def deliver(self, item: Item) -> None:
         if not self.dst.up:
             return
-        if self.reader_gone:
+        if self.reader_closed:
             if item is not RST:
                 self.back.transmit(RST)
             return
@@ -178,28 +180,28 @@
         else:
             self.network.record(f"{item.name} {self.name}")
             if item is RST:
-                if self.reset:
+                if self.reset_received:
                     return
-                self.reset = self.back.broken = True
+                self.reset_received = self.back.reset_by_reader = True
                 if self.network.weather.reset_drops:
-                    self.dropped = bool(self.buffer)
+                    self.unread_discarded = bool(self.buffer)
                     self.buffer.clear()
                 self.back.writers.unpark_all()
             else:
-                self.fin = True
+                self.fin_received = True
             for told in self.on_end:
                 told(item.name)
         self.readers.unpark_all()
 
     def took(self, count: int) -> None:
-        self.read += count
-        while self._marks and self._marks[0][0] <= self.read:
+        self.bytes_read += count
+        while self._marks and self._marks[0][0] <= self.bytes_read:
             self._marks.popleft()[1]()
         self.writers.unpark_all()
 
-    def when_read(self, offset: int, then: Callable[[], None]) -> None:
+    def call_when_read(self, offset: int, then: Callable[[], None]) -> None:
         """Call once all before this offset has been read; offsets grow from call to call."""
-        if offset <= self.read:
+        if offset <= self.bytes_read:
             then()
         else:
             self._marks.append((offset, then))
@@ -221,8 +223,8 @@
         self.closed = False
         self.inbox: Pipe | None = None
         self.outbox: Pipe | None = None
-        self.name: tuple[str, int] = (host.address, 0)
-        self.peer: tuple[str, int] = ("", 0)
+        self.local_address: tuple[str, int] = (host.address, 0)
+        self.peer_address: tuple[str, int] = ("", 0)
         self._queue: deque[VirtualSocket] | None = None
         self._backlog = 0
         self._waiting = trio.lowlevel.ParkingLot()  # for a connection: to come up, or to accept
@@ -232,7 +234,7 @@
         pass
 
     def getsockname(self) -> tuple[str, int]:
-        return self.name
+        return self.local_address
 
     def __enter__(self) -> VirtualSocket:
         return self
@@ -246,11 +248,11 @@
         port = address[1] or self.host.port()
         if port in self.host.listeners:
             raise OSError(errno.EADDRINUSE, "address already in use")
-        self.name = (self.host.address, port)
+        self.local_address = (self.host.address, port)
 
     def listen(self, backlog: int) -> None:
         self._queue, self._backlog = deque(), backlog
-        self.host.listeners[self.name[1]] = self
+        self.host.listeners[self.local_address[1]] = self
 
     async def accept(self) -> tuple[VirtualSocket, tuple[str, int]]:
         await trio.lowlevel.checkpoint()
@@ -259,16 +261,16 @@
                 raise trio.ClosedResourceError
             await self._waiting.park()
         made = self._queue.popleft()
-        return made, made.peer
+        return made, made.peer_address
 
     # Connecting.
 
     async def connect(self, address: tuple[str, int]) -> None:
         await trio.lowlevel.checkpoint()
-        self.name = (self.host.address, self.host.port())
-        self.peer = address
+        self.local_address = (self.host.address, self.host.port())
+        self.peer_address = address
         network = self.network
-        network.record(f"connect {self.host.name}:{self.name[1]} {address[0]}:{address[1]}")
+        network.record(f"connect {self.host.name}:{self.local_address[1]} {address[0]}:{address[1]}")
         target = network.by_address.get(address[0])
         if target is not None:
             network.later(network.delay(self.host, target), self._syn, target, 1)
@@ -284,10 +286,10 @@
         if self.closed or not self.host.up:
             return
         cut = network.is_cut(self.host, target) or network.is_cut(target, self.host)
-        listener = target.listeners.get(self.peer[1])
+        listener = target.listeners.get(self.peer_address[1])
         queue = listener._queue if listener is not None else None
         full = listener is not None and queue is not None and len(queue) >= listener._backlog
-        if cut or not target.up or target.deaf or full:
+        if cut or not target.up or target.drops_syns or full:
             if count < MOST_SYNS:
                 network.later(SYN_AGAIN_S, self._syn, target, count + 1)
             return
@@ -300,7 +302,7 @@
             network.later(back, self._established, target, listener)
 
     def _refuse(self) -> None:
-        self.network.record(f"refused {self.host.name}:{self.name[1]}")
+        self.network.record(f"refused {self.host.name}:{self.local_address[1]}")
         self._refused = errno.ECONNREFUSED
         self._waiting.unpark_all()
 
@@ -312,8 +314,8 @@
             self._refuse()
             return
         other = target.socket()
-        other.name, other.peer = listener.name, self.name
-        ends = f"{self.host.name}:{self.name[1]}", f"{target.name}:{listener.name[1]}"
+        other.local_address, other.peer_address = listener.local_address, self.local_address
+        ends = f"{self.host.name}:{self.local_address[1]}", f"{target.name}:{listener.local_address[1]}"
         there = Pipe(network, f"{ends[0]}>{ends[1]}", self.host, target)
         here = Pipe(network, f"{ends[1]}>{ends[0]}", target, self.host)
         there.back, here.back = here, there
@@ -346,7 +348,7 @@
         if self._queue is not None:
             return bool(self._queue)
         inbox = self.inbox
-        return inbox is not None and (bool(inbox.buffer) or inbox.fin or inbox.reset)
+        return inbox is not None and (bool(inbox.buffer) or inbox.fin_received or inbox.reset_received)
 
     async def wait_readable(self) -> None:
         await trio.lowlevel.checkpoint()
@@ -378,10 +380,10 @@
             del inbox.buffer[:count]
             inbox.took(count)
             return count
-        if inbox.reset or inbox.fin:
+        if inbox.reset_received or inbox.fin_received:
             if inbox.on_read_end is not None:
                 inbox.on_read_end()
-            if inbox.reset:
+            if inbox.reset_received:
                 raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
             return 0
         raise BlockingIOError(errno.EAGAIN, "nothing has come")
@@ -398,11 +400,11 @@
         while True:
             if self.closed:
                 raise trio.ClosedResourceError
-            if outbox.broken:
+            if outbox.reset_by_reader:
                 raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
             if outbox.shut:
                 raise BrokenPipeError(errno.EPIPE, "broken pipe")
-            room = outbox.capacity - (outbox.sent - outbox.read)
+            room = outbox.capacity - (outbox.bytes_written - outbox.bytes_read)
             if room > 0:
                 count = self.network.piece(min(len(data), room))
                 outbox.write(bytes(data[:count]))
@@ -422,7 +424,7 @@
     # Ends.
 
     def shutdown(self, how: int) -> None:
-        if self.outbox is None or self.outbox.broken:
+        if self.outbox is None or self.outbox.reset_by_reader:
             raise OSError(errno.ENOTCONN, "not connected")
         if not self.outbox.shut:
             self.outbox.shut = True
@@ -434,7 +436,7 @@
         outbox, inbox = self.outbox, self.inbox
         if outbox is not None and inbox is not None:
             unread = bool(inbox.buffer)
-            if not inbox.reset and not outbox.broken:
+            if not inbox.reset_received and not outbox.reset_by_reader:
                 if unread:
                     outbox.transmit(RST)
                 elif not outbox.shut:
@@ -456,12 +458,12 @@
         self.closed = True
         self.host.sockets.pop(self, None)
         if self._queue is not None:
-            self.host.listeners.pop(self.name[1], None)
+            self.host.listeners.pop(self.local_address[1], None)
             for made in self._queue:
                 made.abort()
             self._queue = None
         if self.inbox is not None and self.outbox is not None:
-            self.inbox.reader_gone = self.outbox.shut = True
+            self.inbox.reader_closed = self.outbox.shut = True
             self.inbox.buffer.clear()
             self.inbox.readers.unpark_all()
             self.outbox.writers.unpark_all()
@@ -473,7 +475,7 @@
 class Network:
     """The virtual network: hosts, connections and what happens to them."""
 
-    def __init__(self, rng: random.Random, weather: Weather, record: Callable[[str], None]) -> None:
+    def __init__(self, rng: random.Random, weather: NetworkConditions, record: Callable[[str], None]) -> None:
         self.rng, self.weather, self.record = rng, weather, record
         self.hosts: dict[str, Host] = {}
         self.by_address: dict[str, Host] = {}
@@ -484,7 +486,7 @@
         self._due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
-    def host(self, name: str, address: str) -> Host:
+    def add_host(self, name: str, address: str) -> Host:
         made = self.hosts[name] = self.by_address[address] = Host(self, name, address)
         return made
 
--- a/sorreldock/lab/simulation/observers.py
+++ b/sorreldock/lab/simulation/observers.py
@@ -12,7 +12,7 @@
 from ...kserve.framing import parse_timeout
 from .invariants import SERVED, Attempt, Judge, Rpc
 from .network import Pipe, VirtualSocket
-from .readers import DATA, HEADERS, RESET, End, Frame, FrameReader, Head, HttpReader, NotReadable, Part
+from .readers import DATA, HEADERS, RST_STREAM, End, Frame, FrameReader, Head, HttpReader, ParseError, Part
 
 
 def tap(judge: Judge, dialling: VirtualSocket, taking: VirtualSocket) -> None:
@@ -20,10 +20,16 @@
     src, dst = dialling.host.name, taking.host.name
     assert dialling.outbox is not None and dialling.inbox is not None
     if dst.startswith("r"):
-        kind = HttpFrontTap if taking.name[1] == 8080 else H2FrontTap
+        kind = HttpFrontTap if taking.local_address[1] == 8080 else H2FrontTap
         kind(judge, dst, dialling.outbox, dialling.inbox)
     elif src.startswith("r") and dst.startswith("e"):
-        EngineTap(judge, src, f"{taking.name[0]}:{taking.name[1]}", dialling.outbox, dialling.inbox)
+        EngineTap(
+            judge,
+            src,
+            f"{taking.local_address[0]}:{taking.local_address[1]}",
+            dialling.outbox,
+            dialling.inbox,
+        )
     elif src.startswith("r") and dst.startswith("d"):
         ListTap(judge, src, dialling.inbox)
 
@@ -52,13 +58,13 @@
         if not self.spoilt:
             try:
                 self.requests(data)
-            except NotReadable:
+            except ParseError:
                 self.spoilt = True
 
     def _written(self, data: bytes) -> None:
         try:
             self.answers(data)
-        except NotReadable as error:
+        except ParseError as error:
             self.judge.violation("unchanged", f"a malformed answer: {error}", self.out.name)
 
     def requests(self, data: bytes) -> None:
@@ -96,7 +102,7 @@
                 self._request(self._head, item.end)
 
     def _request(self, head: Head, end: int) -> None:
-        path = head.start.split(b" ")[1].partition(b"?")[0]
+        path = head.start_line.split(b" ")[1].partition(b"?")[0]
         key = head.fields.get(b"x-trace-id", b"").decode()
         expires = head.fields.get(b"x-expires-in", b"")
         if path != SERVED or not key or not expires.endswith(b"u"):
@@ -114,12 +120,12 @@
         for item in self._answers.feed(data):
             rpc = self._open
             if rpc is None or rpc.final_at is not None:
-                if not self.spoilt and self._requests.between and isinstance(item, Head):
+                if not self.spoilt and self._requests.is_between_messages and isinstance(item, Head):
                     self.judge.violation("final", "an answer that no request asked for", self.out.name)
                 return
             if isinstance(item, Head):
                 rpc.first_at = now
-                rpc.begun = item.start.split(b" ")[1] == b"200"
+                rpc.begun = item.start_line.split(b" ")[1] == b"200"
             elif isinstance(item, Part):
                 if rpc.begun:
                     rpc.got.append((item.data, now))
@@ -145,11 +151,11 @@
     def requests(self, data: bytes) -> None:
         for frame in self._requests.feed(data):
             if frame.kind == HEADERS:
-                self._fields[frame.stream] = self._requests.fields(frame)
+                self._fields[frame.stream] = self._requests.decode_fields(frame)
                 self._messages[frame.stream] = bytearray()
             elif frame.kind == DATA and frame.stream in self._messages:
                 self._messages[frame.stream] += frame.data()
-            elif frame.kind == RESET and frame.stream in self._open:
+            elif frame.kind == RST_STREAM and frame.stream in self._open:
                 self.stream_left.setdefault(self._open[frame.stream].key, trio.current_time())
             if frame.ends and frame.stream in self._messages:
                 self._request(frame.stream, frame.end)
@@ -167,11 +173,11 @@
     def answers(self, data: bytes) -> None:
         now = trio.current_time()
         for frame in self._answers.feed(data):
-            fields = self._answers.fields(frame) if frame.kind == HEADERS else {}
+            fields = self._answers.decode_fields(frame) if frame.kind == HEADERS else {}
             rpc = self._open.get(frame.stream)
             if rpc is None:
                 continue
-            if frame.kind == RESET:
+            if frame.kind == RST_STREAM:
                 if rpc.first_at is None:
                     self._refused.add(rpc.key)
                 if rpc.final_at is None:
@@ -209,14 +215,14 @@
         back.on_end.append(self._ended)
 
     def _ended(self, how: str) -> None:
-        if self.back.dropped:  # what the router can't have read, it can't pass on
+        if self.back.unread_discarded:  # what the router can't have read, it can't pass on
             for attempt in [*self._streams.values(), *([self._current] if self._current else [])]:
-                attempt.whole = attempt.whole and attempt.end <= self.back.read
+                attempt.whole = attempt.whole and attempt.end <= self.back.bytes_read
 
     def _closed(self) -> None:
         for attempt in [*self._streams.values(), *([self._current] if self._current else [])]:
             if attempt.over_at is None:
-                attempt.left_by_router = not (self.back.fin or self.back.reset)
+                attempt.left_by_router = not (self.back.fin_received or self.back.reset_received)
                 if self._http is not None:
                     readable = all(is_event_stream(part) for part, _ in attempt.parts)
                 else:
@@ -243,7 +249,7 @@
                 self._http_request(self._http[0], data)
             elif self._h2 is not None:
                 self._h2_request(self._h2[0], data)
-        except NotReadable as error:
+        except ParseError as error:
             self.judge.violation("unchanged", f"a malformed request to an engine: {error}", self.out.name)
 
     def _http_request(self, reader: HttpReader, data: bytes) -> None:
@@ -260,12 +266,12 @@
     def _h2_request(self, reader: FrameReader, data: bytes) -> None:
         for frame in reader.feed(data):
             if frame.kind == HEADERS:
-                infer = reader.fields(frame).get(":path", "").endswith("Infer")
+                infer = reader.decode_fields(frame).get(":path", "").endswith("Infer")
                 if infer:
                     self._messages[frame.stream] = bytearray()
             elif frame.kind == DATA and frame.stream in self._messages:
                 self._messages[frame.stream] += frame.data()
-            elif frame.kind == RESET and frame.stream in self._streams:
+            elif frame.kind == RST_STREAM and frame.stream in self._streams:
                 end(self._streams.pop(frame.stream))
             if frame.ends and frame.stream in self._messages:
                 message = bytes(self._messages.pop(frame.stream))
@@ -280,7 +286,7 @@
             elif self._h2 is not None:
                 for frame in self._h2[1].feed(data):
                     self._h2_answer(self._h2[1], frame)
-        except NotReadable:
+        except ParseError:
             self._unreadable = True  # an engine may write anything; the router breaks such a stream off
 
     def _http_answer(self, reader: HttpReader, data: bytes) -> None:
@@ -290,27 +296,27 @@
             if attempt is None or attempt.over_at is not None or attempt.whole:
                 continue
             if isinstance(item, Head):
-                attempt.began = item.start.split(b" ")[1] == b"200"
+                attempt.began = item.start_line.split(b" ")[1] == b"200"
             elif isinstance(item, Part):
                 if attempt.began:
                     attempt.parts.append((item.data, now))
             else:
                 attempt.whole = attempt.began and all(map(is_event_stream, (p for p, _ in attempt.parts)))
                 attempt.end = item.end
-                self.back.when_read(item.end, ending(attempt))
+                self.back.call_when_read(item.end, ending(attempt))
 
     def _h2_answer(self, reader: FrameReader, frame: Frame) -> None:
-        fields = reader.fields(frame) if frame.kind == HEADERS else {}
+        fields = reader.decode_fields(frame) if frame.kind == HEADERS else {}
         attempt = self._streams.get(frame.stream)
         if attempt is None or attempt.whole:
             return
         if frame.kind == DATA and frame.body:
             attempt.began = True
             attempt.parts.append((frame.data(), trio.current_time()))
-        if frame.ends or frame.kind == RESET:
+        if frame.ends or frame.kind == RST_STREAM:
             attempt.whole = fields.get("grpc-status") == "0" and is_framed(attempt.data(), whole=True)
             attempt.end = frame.end
-            self.back.when_read(frame.end, ending(attempt))
+            self.back.call_when_read(frame.end, ending(attempt))
 
 
 def is_framed(data: bytes, whole: bool) -> bool:
@@ -365,7 +371,7 @@
                     *lines, self._rest = (self._rest + item.data).split(b"\n")
                     for line in filter(bytes.strip, lines):
                         self._line(line)
-        except NotReadable:
+        except ParseError:
             self._unreadable = True
 
     def _line(self, line: bytes) -> None:
--- a/sorreldock/lab/simulation/readers.py
+++ b/sorreldock/lab/simulation/readers.py
@@ -12,12 +12,12 @@
 import hpack
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-DATA, HEADERS, RESET, SETTINGS, PING, GOAWAY, CONTINUATION = 0, 1, 3, 4, 6, 7, 9
+DATA, HEADERS, RST_STREAM, SETTINGS, PING, GOAWAY, CONTINUATION = 0, 1, 3, 4, 6, 7, 9
 END_STREAM, PADDED, PRIORITY = 0x1, 0x8, 0x20
 FIELD = re.compile(rb"(?im)^([a-z0-9-]+):[ \t]*([^\r\n]*?)[ \t]*\r?$")
 
 
-class NotReadable(Exception):
+class ParseError(Exception):
     """Not what this protocol allows, or what this reader knows."""
 
 
@@ -25,7 +25,7 @@
 class Head:
     """The head of a message."""
 
-    start: bytes
+    start_line: bytes
     fields: dict[bytes, bytes]
     end: int  # the offset behind it
 
@@ -57,7 +57,7 @@
         self._in_body = False
 
     @property
-    def between(self) -> bool:
+    def is_between_messages(self) -> bool:
         return not self._in_body and not self._data
 
     def feed(self, data: bytes) -> Iterator[Head | Part | End]:
@@ -78,14 +78,14 @@
         end = self._data.find(b"\r\n\r\n")
         if end < 0:
             if len(self._data) > 65536:
-                raise NotReadable("a head without an end")
+                raise ParseError("a head without an end")
             return None
         text = self._drop(end + 4)
         start, _, rest = text.partition(b"\r\n")
         if not re.fullmatch(
             rb"HTTP/1\.[01] \d{3}.*" if self._answers else rb"[A-Z]+ \S+ HTTP/1\.[01]", start
         ):
-            raise NotReadable("not HTTP/1.1")
+            raise ParseError("not HTTP/1.1")
         fields = {k.lower(): v for k, v in FIELD.findall(rest)}
         if start.startswith(b"HTTP/1.1 1"):
             return Head(start, fields, self.offset)
@@ -93,7 +93,7 @@
         self._chunked = fields.get(b"transfer-encoding", b"").lower() == b"chunked"
         length = fields.get(b"content-length")
         if length is not None and not length.isdigit():
-            raise NotReadable("content-length is not a number")
+            raise ParseError("content-length is not a number")
         self._left = int(length) if length is not None else None
         self._until_close = self._answers and not self._chunked and length is None
         if not self._answers and not self._chunked and length is None:
@@ -119,18 +119,18 @@
         line = self._data.find(b"\r\n")
         if line < 0:
             if len(self._data) > 64:
-                raise NotReadable("a chunk size without an end")
+                raise ParseError("a chunk size without an end")
             return None
         size = bytes(self._data[:line]).partition(b";")[0].strip()
         if not re.fullmatch(rb"[0-9A-Fa-f]{1,8}", size):
-            raise NotReadable("not a chunk size")
+            raise ParseError("not a chunk size")
         length = int(size, 16)
         whole = line + 2 + length + 2
         if len(self._data) < whole:
             return None
         text = self._drop(whole)
         if text[-2:] != b"\r\n":
-            raise NotReadable("a chunk of another size than it says")
+            raise ParseError("a chunk of another size than it says")
         if length == 0:
             self._in_body = False
             return End(self.offset)
@@ -172,17 +172,17 @@
         if self.preface:
             if len(self._data) < len(PREFACE):
                 if not PREFACE.startswith(bytes(self._data)):
-                    raise NotReadable("not the HTTP/2 preface")
+                    raise ParseError("not the HTTP/2 preface")
                 return
             if not self._data.startswith(PREFACE):
-                raise NotReadable("not the HTTP/2 preface")
+                raise ParseError("not the HTTP/2 preface")
             del self._data[: len(PREFACE)]
             self.offset += len(PREFACE)
             self.preface = False
         while len(self._data) >= 9:
             length = int.from_bytes(self._data[:3], "big")
             if length > 65536:
-                raise NotReadable("a frame too large")
+                raise ParseError("a frame too large")
             if len(self._data) < 9 + length:
                 return
             kind, flags = self._data[3], self._data[4]
@@ -192,7 +192,7 @@
             self.offset += 9 + length
             yield Frame(kind, flags, stream, body, self.offset)
 
-    def fields(self, frame: Frame) -> dict[str, str]:
+    def decode_fields(self, frame: Frame) -> dict[str, str]:
         body = frame.body
         if frame.flags & PADDED:
             body = body[1 : len(body) - body[0]]
@@ -201,4 +201,4 @@
         try:
             return {str(k): str(v) for k, v in self._hpack.decode(body)}
         except (hpack.HPACKError, UnicodeDecodeError) as error:
-            raise NotReadable(str(error)) from None
+            raise ParseError(str(error)) from None
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -21,15 +21,15 @@
 from ...wire import decode_settings
 from ..directory import Entry
 from ..settings import EngineSettings
-from .clients import GRPC_PORT, HTTP_PORT, Machine
-from .determinism import Guard, Passes, seeded, world_clock
+from .clients import GRPC_PORT, HTTP_PORT, ClientHost
+from .determinism import NondeterminismGuard, StallDetector, seeded_scheduler, virtual_clock
 from .engines import VirtualEngine
 from .invariants import Judge, Violation
 from .library import Library
 from .lists import VirtualDiscovery
-from .network import Network, Weather
+from .network import Network, NetworkConditions
 from .scenario import CLASSES, EnginePlan, RequestPlan, Scenario
-from .system import EPOCH, VirtualSystem
+from .system import START_UNIX_TIME_S, VirtualSystem
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
 DRAINED_S = 3.0  # a drained engine goes so long after its notice
@@ -70,7 +70,7 @@
 
     def __init__(self, world: World, index: int) -> None:
         self.world, self.index, self.name = world, index, f"r{index}"
-        self.host = world.network.host(self.name, f"127.0.1.{index + 1}")
+        self.host = world.network.add_host(self.name, f"127.0.1.{index + 1}")
         self.system = VirtualSystem(self.host, 1000 + index)
         self.program: Program | None = None
         self.scope: trio.CancelScope | None = None
@@ -117,7 +117,7 @@
                 return
             judge.violation("fault", f"{self.name} failed: {faults_in(error)}", self.name)
         finally:
-            self.host.close_all()
+            self.host.close_sockets()
             self.world.network.record(f"ended {self.name}")
             self.ended.set()
 
@@ -130,7 +130,7 @@
 
     def kill(self) -> None:
         self.world.judge.killed.setdefault(self.life(), trio.current_time())
-        self.host.close_all()
+        self.host.close_sockets()
         if self.scope is not None:
             self.scope.cancel()
 
@@ -157,7 +157,7 @@
         self.trace: list[str] = []
         self.keep_trace = keep_trace
         plan = scenario.weather
-        weather = Weather(
+        weather = NetworkConditions(
             plan.delay_ms / 1000,
             plan.jitter_ms / 1000,
             math.inf,
@@ -168,12 +168,12 @@
         )
         self.network = Network(self.rng, weather, self.record)
         self.judge = Judge(self.network)
-        self.discovery = VirtualDiscovery(self.network.host("d0", "127.0.3.1"))
+        self.discovery = VirtualDiscovery(self.network.add_host("d0", "127.0.3.1"))
         self.engines: list[VirtualEngine] = []
         self.broken_config = False
         self.faults: Counter[str] = Counter()
         self.uids = 0
-        self.machines: dict[int, Machine] = {}
+        self.machines: dict[int, ClientHost] = {}
         self.nursery: trio.Nursery
         self.routers: list[Router] = []
         self.library = Library(self)
@@ -244,7 +244,7 @@
         if host_of is not None:
             host = host_of.host
         else:
-            host = self.network.host(f"e{number}", f"127.0.2.{number + 1}")
+            host = self.network.add_host(f"e{number}", f"127.0.2.{number + 1}")
         started = now if cold else now - 3600.0
         made = VirtualEngine(self.judge, host, f"u{number}", settings, started)
         made.plan = plan
@@ -255,7 +255,7 @@
             self.zones()[plan.zone],
             "gpu",
             number // 2,
-            boot_ms=int((EPOCH + started) * 1000),
+            boot_ms=int((START_UNIX_TIME_S + started) * 1000),
         )
         self.discovery.publish(entry)
         return made
@@ -299,11 +299,11 @@
             return
         machine = self.machines.get(plan.machine)
         if machine is None:
-            host = self.network.host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
-            machine = self.machines[plan.machine] = Machine(
+            host = self.network.add_host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
+            machine = self.machines[plan.machine] = ClientHost(
                 host, rng=random.Random(f"{self.scenario.seed} {host.name}")
             )
-        await machine.ask(key, plan, address, self.nursery)
+        await machine.send_request(key, plan, address, self.nursery)
 
     async def _rest(self) -> None:
         """All clients have what they came for: what the routers hold must be back to nothing."""
@@ -358,7 +358,7 @@
 ) -> Result:
     """Play it; the same scenario comes to the same result everywhere."""
     world = World(scenario, keep_trace)
-    passes = Passes(lambda: world.judge.violation("rest", "the world stands still and does not rest"))
+    passes = StallDetector(lambda: world.judge.violation("rest", "the world stands still and does not rest"))
     if before is not None:
         before(world)
     ended_at = 0.0
@@ -369,8 +369,8 @@
             await world.main()
         ended_at = trio.current_time()
 
-    clock = world_clock(world.network.next_at, world.network.advance)
-    with seeded(scenario.seed), Guard(), suppress(KeyboardInterrupt):
+    clock = virtual_clock(world.network.next_at, world.network.advance)
+    with seeded_scheduler(scenario.seed), NondeterminismGuard(), suppress(KeyboardInterrupt):
         trio.run(main, clock=clock, instruments=[passes])
     judge = world.judge
     faults = dict(sorted(world.faults.items()))
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -45,32 +45,32 @@
 async def engine_fault(world: World, engine: VirtualEngine, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
-            engine.slower(fault.amount)
+            engine.set_slowdown(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.slower(1.0)
+            engine.set_slowdown(1.0)
         case "errors":
-            engine.failing(fault.amount)
+            engine.set_fail_share(fault.amount)
             await trio.sleep(fault.for_s)
-            engine.failing(0.0)
+            engine.set_fail_share(0.0)
         case "full":
             engine.full = True
             await trio.sleep(fault.for_s)
             engine.full = False
         case "hang":
-            engine.hung = True
+            engine.hangs = True
             await trio.sleep(fault.for_s)
-            engine.hung = False
+            engine.hangs = False
         case "pause":
-            engine.pause(trio.current_time() + fault.for_s)
+            engine.pause_until(trio.current_time() + fault.for_s)
             await trio.sleep(fault.for_s)
         case "spoil":
-            engine.spoil, engine.spoils = fault.how, 3
+            engine.spoil_kind, engine.spoils_left = fault.how, 3
             await trio.sleep(fault.for_s)
-            engine.spoils = 0
+            engine.spoils_left = 0
         case "refuse":
             engine.close_port()
             await trio.sleep(fault.for_s)
-            if not engine.over:
+            if not engine.ended:
                 world.nursery.start_soon(engine.serve, world.nursery)
         case _:
             await machine_fault(world, engine, fault)
@@ -81,21 +81,21 @@
     host = engine.host
     match fault.kind:
         case "deaf":
-            host.deaf = True
+            host.drops_syns = True
             await trio.sleep(fault.for_s)
-            host.deaf = False
+            host.drops_syns = False
         case "crash":
             engine.end()
             await trio.sleep(NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
+            world.discovery.set_state(engine.uid, "Gone")
             await trio.sleep(fault.for_s)
             world.engines[fault.target] = world.engine(engine.plan, True, engine)
         case "vanish":
-            host.vanish()
+            host.go_offline()
             await trio.sleep(fault.for_s + NOTICED_S)
-            world.discovery.state(engine.uid, "Gone")
+            world.discovery.set_state(engine.uid, "Gone")
             engine.end()
-            host.come_back()
+            host.come_back_online()
             world.engines[fault.target] = world.engine(engine.plan, True, engine)
         case "drain":
             successor = world.engine(engine.plan, True)
@@ -103,7 +103,7 @@
             world.engines[fault.target] = successor
         case "readdress":
             engine.end()
-            world.discovery.state(engine.uid, "Gone")
+            world.discovery.set_state(engine.uid, "Gone")
             await trio.sleep(0)  # its port is free
             world.engines[fault.target] = world.engine(engine.plan, True, engine)
         case "loss":
@@ -111,7 +111,7 @@
             await trio.sleep(fault.for_s)
             host.loss = 0.0
         case "resets":
-            host.reset_all()
+            host.reset_connections()
         case "narrow":
             host.rate = max(fault.amount, 100.0)
             await trio.sleep(fault.for_s)
@@ -119,12 +119,12 @@
 
 
 async def drain(world: World, engine: VirtualEngine) -> None:
-    if engine.over:
+    if engine.ended:
         return
     engine.model.drain()
-    world.discovery.state(engine.uid, "Terminating")
+    world.discovery.set_state(engine.uid, "Terminating")
     await trio.sleep(GONE_S)
-    world.discovery.state(engine.uid, "Gone")
+    world.discovery.set_state(engine.uid, "Gone")
     engine.end()
 
 
@@ -133,10 +133,10 @@
         case "slowdown":
             engines = list(world.engines)
             for engine in engines:
-                engine.slower(fault.amount)
+                engine.set_slowdown(fault.amount)
             await trio.sleep(fault.for_s)
             for engine in engines:
-                engine.slower(1.0)
+                engine.set_slowdown(1.0)
         case "surge":
             plans = world.scenario.requests
             if plans:
@@ -158,7 +158,7 @@
             zone = world.engines[fault.target % len(world.engines)].plan.zone
             async with trio.open_nursery() as nursery:
                 for k, engine in enumerate(world.engines):
-                    if engine.plan.zone == zone and not engine.over:
+                    if engine.plan.zone == zone and not engine.ended:
                         world.engines[k] = world.engine(engine.plan, True)
                         nursery.start_soon(drain, world, engine)
                         await trio.sleep(DEPLOY_STEP_S)
@@ -171,34 +171,34 @@
             discovery.directory.late_s = fault.amount
             await trio.sleep(fault.for_s)
             discovery.directory.late_s = 0.0
-            discovery.wake()
+            discovery.notify_watches()
         case "list-stale":
             discovery.stale = True
             await trio.sleep(fault.for_s)
             discovery.stale = False
-            discovery.wake()
+            discovery.notify_watches()
         case "list-down":
-            discovery.down()
+            discovery.reset_connections()
             await trio.sleep(fault.for_s)
             if discovery is world.discovery:
                 world.nursery.start_soon(discovery.serve, world.nursery)
         case "list-nonsense":
             lines = (b"{", b"[]", b'{"targets":[{}]}', b'{"rev":"x","targets":[]}', b"\xff\xfe" * 9)
-            discovery.nonsense = [
+            discovery.malformed_lines = [
                 lines[(k + fault.target) % len(lines)] for k in range(world.scenario.routers)
             ]
-            discovery.wake()
+            discovery.notify_watches()
         case "list-silent":
             discovery.silent = True
-            discovery.wake()
+            discovery.notify_watches()
             await trio.sleep(fault.for_s)
             discovery.silent = False
-            discovery.down()
+            discovery.reset_connections()
             if discovery is world.discovery:
                 world.nursery.start_soon(discovery.serve, world.nursery)
         case "list-moved":
             number = len([n for n in world.network.hosts if n.startswith("d")])
-            moved = VirtualDiscovery(world.network.host(f"d{number}", f"127.0.3.{number + 1}"))
+            moved = VirtualDiscovery(world.network.add_host(f"d{number}", f"127.0.3.{number + 1}"))
             moved.directory = discovery.directory
             world.discovery = moved
             world.nursery.start_soon(moved.serve, world.nursery)
@@ -206,7 +206,7 @@
                 router.discovery = moved
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
-            discovery.down()
+            discovery.reset_connections()
 
 
 async def router_fault(world: World, fault: FaultPlan) -> None:
@@ -228,7 +228,7 @@
             await trio.sleep(0.1)
             world.broken_config = False
         case "clock":
-            router.system.wall_ahead_s += fault.amount
+            router.system.wall_offset_s += fault.amount
 
 
 async def sent_away(world: World, router: Router, for_s: float) -> None:
--- a/sorreldock/lab/simulation/system.py
+++ b/sorreldock/lab/simulation/system.py
@@ -10,7 +10,7 @@
 
 from .network import Host, VirtualSocket
 
-EPOCH = 1_780_000_000.0  # the world's Unix time at its start
+START_UNIX_TIME_S = 1_780_000_000.0  # the world's Unix time at its start
 STAMP = re.compile(rb"^<\d+>1 \S+ ")
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, host: Host, pid: int) -> None:
         self.host, self.pid = host, pid
-        self.wall_ahead_s = 0.0
+        self.wall_offset_s = 0.0
         self._signals: trio.MemorySendChannel[int] | None = None
         self._early: list[int] = []
 
@@ -37,7 +37,7 @@
         raise OSError("a machine of the world holds no sockets for its processes")
 
     def wall(self) -> float:
-        return EPOCH + trio.current_time() + self.wall_ahead_s
+        return START_UNIX_TIME_S + trio.current_time() + self.wall_offset_s
 
     @contextmanager
     def signals(self, *numbers: int) -> Iterator[AsyncIterator[int]]:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,8 +9,8 @@
 import pytest
 import trio
 
-from sorreldock.lab.simulation.determinism import seeded, world_clock
-from sorreldock.lab.simulation.network import Network, VirtualSocket, Weather
+from sorreldock.lab.simulation.determinism import seeded_scheduler, virtual_clock
+from sorreldock.lab.simulation.network import Network, NetworkConditions, VirtualSocket
 from sorreldock.lab.simulation.system import VirtualSystem
 from sorreldock.protocol.http import freshness
 from sorreldock.protocol.http.discovery import Resolver
@@ -162,7 +162,7 @@
         return b"%x\r\n%b\r\n" % (len(data), data)
 
     async def story(network: Network) -> None:
-        here, there = network.host("r0", "127.0.0.1"), network.host("d", "127.0.0.2")
+        here, there = network.add_host("r0", "127.0.0.1"), network.add_host("d", "127.0.0.2")
         resolver = Resolver(
             "127.0.0.2:80",
             0,
@@ -197,9 +197,9 @@
                     nursery.start_soon(attend, (await listener.accept())[0])
             nursery.cancel_scope.cancel()
 
-    with seeded(1):
-        network = Network(random.Random(1), Weather(), lambda line: None)
-        trio.run(story, network, clock=world_clock(network.next_at, network.advance))
+    with seeded_scheduler(1):
+        network = Network(random.Random(1), NetworkConditions(), lambda line: None)
+        trio.run(story, network, clock=virtual_clock(network.next_at, network.advance))
     lists = [at for at, result in heard if result.version]
     assert len(lists) == 1 and 18.0 < lists[0] < 18.0 + TOLD_S  # and that watch is kept to the end
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -20,11 +20,16 @@
 from sorreldock.lab.settings import LabError
 from sorreldock.lab.simulation import explore as exploring
 from sorreldock.lab.simulation import scenario as plans
-from sorreldock.lab.simulation.determinism import BehindTheSeam, Guard, seeded, world_clock
+from sorreldock.lab.simulation.determinism import (
+    NondeterminismError,
+    NondeterminismGuard,
+    seeded_scheduler,
+    virtual_clock,
+)
 from sorreldock.lab.simulation.invariants import Judge
 from sorreldock.lab.simulation.mutants import MUTANTS, find_all, mutated
-from sorreldock.lab.simulation.network import Network, VirtualSocket, Weather
-from sorreldock.lab.simulation.readers import End, FrameReader, Head, HttpReader, NotReadable, Part
+from sorreldock.lab.simulation.network import Network, NetworkConditions, VirtualSocket
+from sorreldock.lab.simulation.readers import End, FrameReader, Head, HttpReader, ParseError, Part
 from sorreldock.lab.simulation.replay import compare
 from sorreldock.lab.simulation.runner import World, play
 from sorreldock.lab.simulation.scenario import CLIENTS, FAULTS, Scenario, draw, dump, load
@@ -42,20 +47,20 @@
 Story = Callable[[Network], Awaitable[None]]
 
 
-def told(weather: Weather, story: Story, seed: int = 1) -> list[str]:
+def told(weather: NetworkConditions, story: Story, seed: int = 1) -> list[str]:
     """Run a story between machines of a network; what was recorded."""
     import random
 
     lines: list[str] = []
     network = Network(random.Random(seed), weather, lines.append)
-    with seeded(seed):
-        trio.run(story, network, clock=world_clock(network.next_at, network.advance))
+    with seeded_scheduler(seed):
+        trio.run(story, network, clock=virtual_clock(network.next_at, network.advance))
     return lines
 
 
 async def pair(network: Network) -> tuple[VirtualSocket, VirtualSocket]:
     """Both ends of a connection from c1 to r0."""
-    here, there = network.host("c1", "127.0.0.1"), network.host("r0", "127.0.0.2")
+    here, there = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
     listener = there.socket()
     await listener.bind(("127.0.0.2", 80))
     listener.listen(5)
@@ -76,7 +81,7 @@
         assert got == data and trio.current_time() - since >= 0.05
 
     for seed in range(5):
-        told(Weather(delay_s=0.05, jitter_s=0.1, loss=0.1, pieces=0.5, buffer=512), story, seed)
+        told(NetworkConditions(delay_s=0.05, jitter_s=0.1, loss=0.1, pieces=0.5, buffer=512), story, seed)
 
 
 def test_a_writer_waits_for_a_reader_that_does_not_read() -> None:
@@ -84,10 +89,10 @@
         one, _ = await pair(network)
         with trio.move_on_after(30.0) as scope:
             await one.send_all(b"x" * 5000)
-        assert scope.cancelled_caught and one.outbox is not None and one.outbox.sent == 4096
+        assert scope.cancelled_caught and one.outbox is not None and one.outbox.bytes_written == 4096
         assert one.outbox.was_full(1.0, 2.0)
 
-    told(Weather(buffer=4096), story)
+    told(NetworkConditions(buffer=4096), story)
 
 
 def test_a_close_with_unread_bytes_is_a_reset_and_one_without_is_an_end() -> None:
@@ -108,8 +113,8 @@
         with pytest.raises(ConnectionResetError):
             await one.recv()
 
-    told(Weather(), story)
-    told(Weather(), unread)
+    told(NetworkConditions(), story)
+    told(NetworkConditions(), unread)
 
 
 def test_what_a_partition_holds_arrives_once_it_is_healed_and_one_way_is_one_way() -> None:
@@ -125,41 +130,41 @@
         network.heal("c1", "r0")
         assert await other.recv() == b"held"
 
-    told(Weather(), story)
+    told(NetworkConditions(), story)
 
 
 def test_connects_are_refused_never_answered_or_taken_up_once_the_machine_hears() -> None:
     async def story(network: Network) -> None:
-        here, there = network.host("c1", "127.0.0.1"), network.host("r0", "127.0.0.2")
+        here, there = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
         with pytest.raises(OSError, match="refused"):
             await here.socket().connect(("127.0.0.2", 80))
-        there.deaf = True
+        there.drops_syns = True
         with trio.move_on_after(60.0) as scope:
             await here.socket().connect(("127.0.0.2", 80))
         assert scope.cancelled_caught
-        there.deaf = False
-        there.vanish()
+        there.drops_syns = False
+        there.go_offline()
         with trio.move_on_after(60.0) as scope:
             await here.socket().connect(("127.0.0.2", 80))
         assert scope.cancelled_caught
 
-    told(Weather(), story)
+    told(NetworkConditions(), story)
 
 
 def test_a_vanished_machine_says_nothing_and_one_that_came_back_knows_no_connection() -> None:
     async def story(network: Network) -> None:
         one, other = await pair(network)
-        other.host.vanish()
+        other.host.go_offline()
         await one.send_all(b"into the void")
         with trio.move_on_after(60.0) as scope:
             await one.recv()
         assert scope.cancelled_caught
-        other.host.come_back()
+        other.host.come_back_online()
         await one.send_all(b"who are you?")
         with pytest.raises(ConnectionResetError):
             await one.recv()
 
-    told(Weather(), story)
+    told(NetworkConditions(), story)
 
 
 def test_readers_cut_messages_at_any_byte_and_name_their_offsets() -> None:
@@ -170,10 +175,10 @@
     reader = HttpReader(answers=True)
     items = [item for k in range(len(text)) for item in reader.feed(text[k : k + 1])]
     assert [type(i) for i in items] == [Head, Part, End, Head, Part, End]
-    assert [i.end for i in items][-1] == len(text) and reader.between
-    with pytest.raises(NotReadable):
+    assert [i.end for i in items][-1] == len(text) and reader.is_between_messages
+    with pytest.raises(ParseError):
         list(HttpReader(answers=True).feed(b"\x16\x03\x01 none of this\r\n\r\n"))
-    with pytest.raises(NotReadable):
+    with pytest.raises(ParseError):
         list(FrameReader(preface=True).feed(b"GET / HTTP/1.1\r\n\r\n and more of it"))
 
 
@@ -197,8 +202,8 @@
         self.ways = [await self._pair("r0", "127.0.0.2", f"e{k}", f"127.0.2.{k}", 9000) for k in (1, 2)]
 
     async def _pair(self, a: str, at: str, b: str, to: str, port: int) -> tuple[VirtualSocket, VirtualSocket]:
-        here = self.network.hosts.get(a) or self.network.host(a, at)
-        there = self.network.hosts.get(b) or self.network.host(b, to)
+        here = self.network.hosts.get(a) or self.network.add_host(a, at)
+        there = self.network.hosts.get(b) or self.network.add_host(b, to)
         listener = there.socket()
         await listener.bind((to, port))
         listener.listen(5)
@@ -235,7 +240,7 @@
         wires.judge.conclude()
         rules.extend(v.rule for v in wires.judge.violations)
 
-    told(Weather(), story)
+    told(NetworkConditions(), story)
     return rules
 
 
@@ -377,9 +382,12 @@
     code = "import time\ndef look():\n    return time.time()\n"
     module: dict[str, object] = {"__name__": "sorreldock.routing.core"}
     exec(code, module)
-    with Guard(), pytest.raises(BehindTheSeam, match=r"time\.time in sorreldock\.routing\.core, line 3"):
+    with (
+        NondeterminismGuard(),
+        pytest.raises(NondeterminismError, match=r"time\.time in sorreldock\.routing\.core, line 3"),
+    ):
         module["look"]()  # type: ignore[operator]
-    with Guard():
+    with NondeterminismGuard():
         assert time.time() > 0  # nobody else is kept from it
 
 
