--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -98,7 +98,7 @@
         at = self.model.next_at()
         if at is not None and at < self._due:
             self._due = at
-            self.host.network.at(at, self._step)
+            self.host.network.schedule_at(at, self._step)
 
     def _step(self) -> None:
         self._due = math.inf
--- a/sorreldock/lab/simulation/network.py
+++ b/sorreldock/lab/simulation/network.py
@@ -1,10 +1,10 @@
-"""An in-memory network of machines: delays, losses, partitions, and TCP's ends as programs see them.
+"""An in-memory network of hosts with delays, losses, partitions and the ends of TCP connections.
 
-A connection is two pipes. What is written is held until it has been read, up to the pipe's capacity; it
-arrives in order, after the way's delay. A lost segment is seen as a stall, as behind a retransmission. A
-close with bytes unread, or bytes that come after a close, bring a reset (RFC 9293 section 3.10.7.1 and RFC
-2525 section 2.17). All draws are from one generator, and what happens at one moment happens in the order of
-its causes.
+A connection is two pipes, one per direction. A pipe buffers written bytes until they are read, up to its
+capacity. Bytes arrive in order, after the link's delay. A lost segment shows as a stall, as it does behind a
+retransmission. Closing a socket with unread bytes, or sending to a closed socket, causes a reset (RFC 9293
+section 3.10.7.1 and RFC 2525 section 2.17). All random draws come from one generator. Events that are due at
+the same time run in the order in which they were scheduled, so every run of a seed is the same.
 """
 
 from __future__ import annotations
@@ -22,61 +22,66 @@
 
 import trio
 
-SYN_AGAIN_S = 1.0
-MOST_SYNS = 6
-RETRANSMITTED_S = (0.2, 1.6)  # how long a lost segment stalls what follows it
+SYN_RETRY_S = 1.0
+MAX_SYNS = 6
+RETRANSMISSION_DELAY_S = (0.2, 1.6)  # range of the stall that a lost segment causes
 
 
-class Signal:
-    """A signal delivered to a virtual process."""
+class ControlSegment:
+    """A segment without data that ends a direction of a connection; its name appears in the trace."""
 
     def __init__(self, name: str) -> None:
         self.name = name
 
 
-FIN, RST = Signal("fin"), Signal("rst")
-Item = bytes | Signal
-Attend = Callable[["VirtualSocket"], Awaitable[None]]
+FIN, RST = ControlSegment("fin"), ControlSegment("rst")
+Segment = bytes | ControlSegment
+ConnectionHandler = Callable[["VirtualSocket"], Awaitable[None]]
 
 
 @dataclass
 class NetworkConditions:
-    """What holds on all ways. Times in seconds, rates in bytes a second, shares from 0 to 1."""
+    """The properties of all links: times in seconds, bandwidth in bytes per second, shares from 0 to 1."""
 
     delay_s: float = 0.001
     jitter_s: float = 0.0
-    rate: float = math.inf
+    bandwidth: float = math.inf
     loss: float = 0.0
-    pieces: float = 0.0  # of reads and writes, cut short, down to a byte
-    buffer: int = 65536  # bytes that a pipe holds
-    reset_drops: bool = False  # a reset takes with it what has arrived and is unread
+    partial_io_share: float = 0.0  # share of reads and writes that are cut short, down to one byte
+    pipe_capacity_bytes: int = 65536
+    reset_discards_unread: bool = False  # a reset discards bytes that have arrived and are unread
 
 
 class Host:
-    """A machine. `up`: its kernel answers; `deaf`: it lets connects wait for ever."""
+    """A host on the network.
+
+    While `up` is false, packets to the host are lost. While `drops_syns` is set, connection attempts get no
+    reply.
+    """
 
     def __init__(self, network: Network, name: str, address: str) -> None:
         self.network, self.name, self.address = network, name, address
         self.up, self.drops_syns = True, False
-        self.eager = not name.startswith("r")
+        # The simulation's own peers yield to other tasks only where they have to wait; routers always do.
+        self.skips_checkpoints = not name.startswith("r")
         self.listeners: dict[int, VirtualSocket] = {}
         self.sockets: dict[VirtualSocket, None] = {}
-        self.rate = math.inf
+        self.bandwidth = math.inf
         self.loss = 0.0
-        self._port = 40000
+        self._last_port = 40000
 
-    def port(self) -> int:
-        self._port += 1
-        return self._port
+    def allocate_port(self) -> int:
+        self._last_port += 1
+        return self._last_port
 
     def socket(self) -> VirtualSocket:
-        made = VirtualSocket(self)
-        self.sockets[made] = None
-        return made
+        sock = VirtualSocket(self)
+        self.sockets[sock] = None
+        return sock
 
-    async def serve(self, port: int, attend: Attend, nursery: trio.Nursery) -> None:
-        """Take connections at this port until it is closed; of no effect while it is open."""
-        if port in self.listeners:  # two faults of this machine have ended
+    async def serve(self, port: int, handler: ConnectionHandler, nursery: trio.Nursery) -> None:
+        """Accept connections at this port until its listener is closed; do nothing if it is already open."""
+        if port in self.listeners:  # two faults of this host that closed the port have both ended
             return
         listener = self.socket()
         await listener.bind((self.address, port))
@@ -86,58 +91,56 @@
                 sock, _ = await listener.accept()
             except trio.ClosedResourceError:
                 return
-            nursery.start_soon(attend, sock)
+            nursery.start_soon(handler, sock)
 
     def close_sockets(self) -> None:
-        """Its processes have died: the kernel closes what they held."""
+        """Close all sockets, as the kernel does when the host's processes have exited."""
         for sock in list(self.sockets):
             sock.close()
 
     def go_offline(self) -> None:
-        """No word more from it: what is sent to it is lost."""
+        """Lose everything that is sent to this host from now on."""
         self.network.record(f"vanish {self.name}")
         self.up = False
 
     def come_back_online(self) -> None:
-        """Up again, knowing nothing of its connections."""
+        """Receive packets again, with no state of earlier connections, as after a reboot."""
         for sock in list(self.sockets):
-            sock.forget()
+            sock.discard()
         self.up = True
         self.network.record(f"back {self.name}")
 
-    def reset_connections(self, other: Host | None = None) -> None:
-        """Something between has reset the connections: both ends see it."""
+    def reset_connections(self, peer: Host | None = None) -> None:
+        """Reset this host's connections, or those to one peer, at both ends, as a middlebox may."""
         for sock in list(self.sockets):
-            if sock.outbox is not None and (other is None or sock.outbox.dst is other):
+            if sock.outbox is not None and (peer is None or sock.outbox.dst is peer):
                 sock.outbox.transmit(RST)
                 assert sock.inbox is not None
                 sock.inbox.transmit(RST)
 
 
 class Pipe:
-    """One direction of a connection. Offsets are bytes since its opening."""
+    """One direction of a connection; offsets are counted in bytes since the connection was opened."""
 
     def __init__(self, network: Network, name: str, src: Host, dst: Host) -> None:
         self.network, self.name, self.src, self.dst = network, name, src, dst
-        self.capacity = network.weather.buffer
+        self.capacity = network.conditions.pipe_capacity_bytes
         self.bytes_written = self.bytes_read = 0
         self.buffer = bytearray()
-        self.fin_received = self.reset_received = self.reset_by_reader = self.shut = self.reader_closed = (
-            False
-        )
-        self.unread_discarded = False  # a reset took with it what had arrived and was unread
-        self.latest = 0.0
-        self.held: deque[Item] = deque()  # behind a partition
-        self.readers, self.writers = trio.lowlevel.ParkingLot(), trio.lowlevel.ParkingLot()
-        self.back: Pipe
+        self.got_fin = self.got_reset = self.reset_by_reader = self.write_closed = self.reader_closed = False
+        self.unread_discarded = False  # a reset discarded bytes that had arrived and were unread
+        self.last_arrival_at = 0.0
+        self.blocked_segments: deque[Segment] = deque()  # held back by a partition
+        self.waiting_readers, self.waiting_writers = trio.lowlevel.ParkingLot(), trio.lowlevel.ParkingLot()
+        self.reverse: Pipe
         self.full_since: float | None = None
-        self.full: list[tuple[float, float]] = []  # when a writer waited for room
+        self.full_intervals: list[tuple[float, float]] = []  # when a writer waited for space
         self.on_write: Callable[[bytes], None] | None = None
         self.on_arrive: Callable[[bytes], None] | None = None
-        self.on_end: list[Callable[[str], None]] = []  # "fin" or "rst" has arrived
-        self.on_read_end: Callable[[], None] | None = None  # the reader has met the end
+        self.on_end: list[Callable[[str], None]] = []  # called with "fin" or "rst" on arrival
+        self.on_read_end: Callable[[], None] | None = None  # the reader has reached the end
         self.on_closed: Callable[[], None] | None = None  # the writer has closed its socket
-        self._marks: deque[tuple[int, Callable[[], None]]] = deque()
+        self._read_callbacks: deque[tuple[int, Callable[[], None]]] = deque()
 
     def write(self, data: bytes) -> None:
         self.bytes_written += len(data)
@@ -146,75 +149,78 @@
             self.on_write(data)
         self.transmit(data)
 
-    def transmit(self, item: Item) -> None:
+    def transmit(self, segment: Segment) -> None:
         network, now = self.network, trio.current_time()
-        at = now + network.delay(self.src, self.dst)
-        if isinstance(item, bytes):
-            rate = min(network.weather.rate, self.src.rate, self.dst.rate)
-            at = max(at, self.latest) + len(item) / rate
-            loss = network.weather.loss + self.src.loss + self.dst.loss
+        at = now + network.draw_delay(self.src, self.dst)
+        if isinstance(segment, bytes):
+            bandwidth = min(network.conditions.bandwidth, self.src.bandwidth, self.dst.bandwidth)
+            at = max(at, self.last_arrival_at) + len(segment) / bandwidth
+            loss = network.conditions.loss + self.src.loss + self.dst.loss
             if loss and network.rng.random() < loss:
-                at += network.rng.uniform(*RETRANSMITTED_S)
-        self.latest = max(at, self.latest)
-        network.at(self.latest, self._arrive, item)
-
-    def _arrive(self, item: Item) -> None:
-        if self.held or self.network.is_cut(self.src, self.dst):
-            self.held.append(item)
-            self.network.holding[self] = None
+                at += network.rng.uniform(*RETRANSMISSION_DELAY_S)
+        self.last_arrival_at = max(at, self.last_arrival_at)
+        network.schedule_at(self.last_arrival_at, self._arrive, segment)
+
+    def _arrive(self, segment: Segment) -> None:
+        if self.blocked_segments or self.network.is_cut(self.src, self.dst):
+            self.blocked_segments.append(segment)
+            self.network.blocked_pipes[self] = None
         else:
-            self.deliver(item)
+            self.deliver(segment)
 
-    def deliver(self, item: Item) -> None:
+    def deliver(self, segment: Segment) -> None:
         if not self.dst.up:
             return
         if self.reader_closed:
-            if item is not RST:
-                self.back.transmit(RST)
+            if segment is not RST:
+                self.reverse.transmit(RST)
             return
-        if isinstance(item, bytes):
-            self.buffer += item
-            self.network.record(f"arrive {self.name} {len(item)}")
+        if isinstance(segment, bytes):
+            self.buffer += segment
+            self.network.record(f"arrive {self.name} {len(segment)}")
             if self.on_arrive is not None:
-                self.on_arrive(item)
+                self.on_arrive(segment)
         else:
-            self.network.record(f"{item.name} {self.name}")
-            if item is RST:
-                if self.reset_received:
+            self.network.record(f"{segment.name} {self.name}")
+            if segment is RST:
+                if self.got_reset:
                     return
-                self.reset_received = self.back.reset_by_reader = True
-                if self.network.weather.reset_drops:
+                self.got_reset = self.reverse.reset_by_reader = True
+                if self.network.conditions.reset_discards_unread:
                     self.unread_discarded = bool(self.buffer)
                     self.buffer.clear()
-                self.back.writers.unpark_all()
+                self.reverse.waiting_writers.unpark_all()
             else:
-                self.fin_received = True
-            for told in self.on_end:
-                told(item.name)
-        self.readers.unpark_all()
+                self.got_fin = True
+            for callback in self.on_end:
+                callback(segment.name)
+        self.waiting_readers.unpark_all()
 
-    def took(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         self.bytes_read += count
-        while self._marks and self._marks[0][0] <= self.bytes_read:
-            self._marks.popleft()[1]()
-        self.writers.unpark_all()
+        while self._read_callbacks and self._read_callbacks[0][0] <= self.bytes_read:
+            self._read_callbacks.popleft()[1]()
+        self.waiting_writers.unpark_all()
+
+    def call_when_read(self, offset: int, callback: Callable[[], None]) -> None:
+        """Call back once all bytes before this offset have been read.
 
-    def call_when_read(self, offset: int, then: Callable[[], None]) -> None:
-        """Call once all before this offset has been read; offsets grow from call to call."""
+        Offsets must not decrease from one call to the next.
+        """
         if offset <= self.bytes_read:
-            then()
+            callback()
         else:
-            self._marks.append((offset, then))
+            self._read_callbacks.append((offset, callback))
 
     def was_full(self, since: float, until: float) -> bool:
-        """Whether a writer waited for room at some moment of this stretch."""
+        """Tell whether a writer waited for space at some time in this interval."""
         if self.full_since is not None and self.full_since <= until:
             return True
-        return any(begin <= until and end >= since for begin, end in self.full)
+        return any(begin <= until and end >= since for begin, end in self.full_intervals)
 
 
 class VirtualSocket:
-    """A TCP socket of this network, for the program's `System` and for the world's own peers."""
+    """A TCP socket of this network, for the router's `System` and for the simulation's own peers."""
 
     family = int(socket.AF_INET)
 
@@ -225,10 +231,10 @@
         self.outbox: Pipe | None = None
         self.local_address: tuple[str, int] = (host.address, 0)
         self.peer_address: tuple[str, int] = ("", 0)
-        self._queue: deque[VirtualSocket] | None = None
+        self._accept_queue: deque[VirtualSocket] | None = None
         self._backlog = 0
-        self._waiting = trio.lowlevel.ParkingLot()  # for a connection: to come up, or to accept
-        self._refused: int | None = None
+        self._waiting = trio.lowlevel.ParkingLot()  # tasks that connect or accept
+        self._connect_errno: int | None = None
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
         pass
@@ -245,65 +251,66 @@
     # Listening.
 
     async def bind(self, address: tuple[str, int]) -> None:
-        port = address[1] or self.host.port()
+        port = address[1] or self.host.allocate_port()
         if port in self.host.listeners:
             raise OSError(errno.EADDRINUSE, "address already in use")
         self.local_address = (self.host.address, port)
 
     def listen(self, backlog: int) -> None:
-        self._queue, self._backlog = deque(), backlog
+        self._accept_queue, self._backlog = deque(), backlog
         self.host.listeners[self.local_address[1]] = self
 
     async def accept(self) -> tuple[VirtualSocket, tuple[str, int]]:
         await trio.lowlevel.checkpoint()
-        while not self._queue:
-            if self.closed or self._queue is None:
+        while not self._accept_queue:
+            if self.closed or self._accept_queue is None:
                 raise trio.ClosedResourceError
             await self._waiting.park()
-        made = self._queue.popleft()
-        return made, made.peer_address
+        sock = self._accept_queue.popleft()
+        return sock, sock.peer_address
 
     # Connecting.
 
     async def connect(self, address: tuple[str, int]) -> None:
         await trio.lowlevel.checkpoint()
-        self.local_address = (self.host.address, self.host.port())
+        self.local_address = (self.host.address, self.host.allocate_port())
         self.peer_address = address
         network = self.network
         network.record(f"connect {self.host.name}:{self.local_address[1]} {address[0]}:{address[1]}")
-        target = network.by_address.get(address[0])
+        target = network.hosts_by_address.get(address[0])
         if target is not None:
-            network.later(network.delay(self.host, target), self._syn, target, 1)
-        while self.outbox is None and self._refused is None:
+            network.schedule_after(network.draw_delay(self.host, target), self._handle_syn, target, 1)
+        while self.outbox is None and self._connect_errno is None:
             await self._waiting.park()
             if self.closed:
                 raise trio.ClosedResourceError
-        if self._refused is not None:
-            raise OSError(self._refused, "connection refused")
+        if self._connect_errno is not None:
+            raise OSError(self._connect_errno, "connection refused")
 
-    def _syn(self, target: Host, count: int) -> None:
+    def _handle_syn(self, target: Host, attempt: int) -> None:
+        """Process the arrival of a SYN at the target; a SYN that gets no reply is sent again."""
         network = self.network
         if self.closed or not self.host.up:
             return
         cut = network.is_cut(self.host, target) or network.is_cut(target, self.host)
         listener = target.listeners.get(self.peer_address[1])
-        queue = listener._queue if listener is not None else None
+        queue = listener._accept_queue if listener is not None else None
         full = listener is not None and queue is not None and len(queue) >= listener._backlog
         if cut or not target.up or target.drops_syns or full:
-            if count < MOST_SYNS:
-                network.later(SYN_AGAIN_S, self._syn, target, count + 1)
+            if attempt < MAX_SYNS:
+                network.schedule_after(SYN_RETRY_S, self._handle_syn, target, attempt + 1)
             return
-        back = network.delay(target, self.host)
+        return_delay = network.draw_delay(target, self.host)
         if listener is None:
             if network.on_refused is not None:
                 network.on_refused(self.host, target)
-            network.later(back, self._refuse)
+            network.schedule_after(return_delay, self._refuse_connect)
         else:
-            network.later(back, self._established, target, listener)
+            network.schedule_after(return_delay, self._established, target, listener)
 
-    def _refuse(self) -> None:
+    def _refuse_connect(self) -> None:
         self.network.record(f"refused {self.host.name}:{self.local_address[1]}")
-        self._refused = errno.ECONNREFUSED
+        self._connect_errno = errno.ECONNREFUSED
         self._waiting.unpark_all()
 
     def _established(self, target: Host, listener: VirtualSocket) -> None:
@@ -311,62 +318,62 @@
         if self.closed or not target.up:
             return
         if listener.closed:
-            self._refuse()
+            self._refuse_connect()
             return
-        other = target.socket()
-        other.local_address, other.peer_address = listener.local_address, self.local_address
+        accepted = target.socket()
+        accepted.local_address, accepted.peer_address = listener.local_address, self.local_address
         ends = f"{self.host.name}:{self.local_address[1]}", f"{target.name}:{listener.local_address[1]}"
-        there = Pipe(network, f"{ends[0]}>{ends[1]}", self.host, target)
-        here = Pipe(network, f"{ends[1]}>{ends[0]}", target, self.host)
-        there.back, here.back = here, there
-        self.outbox, self.inbox, other.outbox, other.inbox = there, here, here, there
-        arrives = trio.current_time() + network.delay(self.host, target)
-        there.latest = arrives
-        network.at(arrives, listener._enqueue, other)
-        network.record(f"open {there.name}")
+        outgoing = Pipe(network, f"{ends[0]}>{ends[1]}", self.host, target)
+        incoming = Pipe(network, f"{ends[1]}>{ends[0]}", target, self.host)
+        outgoing.reverse, incoming.reverse = incoming, outgoing
+        self.outbox, self.inbox, accepted.outbox, accepted.inbox = outgoing, incoming, incoming, outgoing
+        arrives_at = trio.current_time() + network.draw_delay(self.host, target)
+        outgoing.last_arrival_at = arrives_at
+        network.schedule_at(arrives_at, listener._enqueue, accepted)
+        network.record(f"open {outgoing.name}")
         if network.on_open is not None:
-            network.on_open(self, other)
+            network.on_open(self, accepted)
         self._waiting.unpark_all()
 
-    def _enqueue(self, made: VirtualSocket) -> None:
-        if self.closed or self._queue is None:
-            made.abort()
+    def _enqueue(self, accepted: VirtualSocket) -> None:
+        if self.closed or self._accept_queue is None:
+            accepted.abort()
             return
-        self._queue.append(made)
+        self._accept_queue.append(accepted)
         self._waiting.unpark_all()
 
-    # Bytes.
+    # Data transfer.
 
-    async def _pass(self) -> None:
-        """A checkpoint. The world's own peers let nobody else in where they need not wait."""
-        if self.host.eager:
+    async def _checkpoint(self) -> None:
+        """Execute a checkpoint; the simulation's own peers only check for cancellation."""
+        if self.host.skips_checkpoints:
             await trio.lowlevel.checkpoint_if_cancelled()
         else:
             await trio.lowlevel.checkpoint()
 
     def is_readable(self) -> bool:
-        if self._queue is not None:
-            return bool(self._queue)
+        if self._accept_queue is not None:
+            return bool(self._accept_queue)
         inbox = self.inbox
-        return inbox is not None and (bool(inbox.buffer) or inbox.fin_received or inbox.reset_received)
+        return inbox is not None and (bool(inbox.buffer) or inbox.got_fin or inbox.got_reset)
 
     async def wait_readable(self) -> None:
         await trio.lowlevel.checkpoint()
         while not self.is_readable():
             if self.closed:
                 raise trio.ClosedResourceError
-            await (self._waiting if self.inbox is None else self.inbox.readers).park()
+            await (self._waiting if self.inbox is None else self.inbox.waiting_readers).park()
         if self.closed:
             raise trio.ClosedResourceError
 
     async def recv_into(self, buffer: Any) -> int:
-        await self._pass()
+        await self._checkpoint()
         while True:
             try:
                 return self.read_now(buffer)
             except BlockingIOError:
                 assert self.inbox is not None
-                await self.inbox.readers.park()
+                await self.inbox.waiting_readers.park()
 
     def read_now(self, buffer: Any) -> int:
         inbox = self.inbox
@@ -375,25 +382,25 @@
         if self.closed:
             raise trio.ClosedResourceError
         if inbox.buffer:
-            count = self.network.piece(min(len(buffer), len(inbox.buffer)))
+            count = self.network.draw_io_size(min(len(buffer), len(inbox.buffer)))
             buffer[:count] = inbox.buffer[:count]
             del inbox.buffer[:count]
-            inbox.took(count)
+            inbox.consume(count)
             return count
-        if inbox.reset_received or inbox.fin_received:
+        if inbox.got_reset or inbox.got_fin:
             if inbox.on_read_end is not None:
                 inbox.on_read_end()
-            if inbox.reset_received:
+            if inbox.got_reset:
                 raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
             return 0
         raise BlockingIOError(errno.EAGAIN, "nothing has come")
 
-    async def recv(self, most: int = 65536) -> bytes:
-        buffer = bytearray(most)
+    async def recv(self, max_bytes: int = 65536) -> bytes:
+        buffer = bytearray(max_bytes)
         return bytes(buffer[: await self.recv_into(buffer)])
 
     async def send(self, data: Any) -> int:
-        await self._pass()
+        await self._checkpoint()
         outbox = self.outbox
         if outbox is None:
             raise OSError(errno.ENOTCONN, "not connected")
@@ -402,18 +409,18 @@
                 raise trio.ClosedResourceError
             if outbox.reset_by_reader:
                 raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
-            if outbox.shut:
+            if outbox.write_closed:
                 raise BrokenPipeError(errno.EPIPE, "broken pipe")
-            room = outbox.capacity - (outbox.bytes_written - outbox.bytes_read)
-            if room > 0:
-                count = self.network.piece(min(len(data), room))
+            space = outbox.capacity - (outbox.bytes_written - outbox.bytes_read)
+            if space > 0:
+                count = self.network.draw_io_size(min(len(data), space))
                 outbox.write(bytes(data[:count]))
                 return count
             outbox.full_since = since = trio.current_time()
             try:
-                await outbox.writers.park()
+                await outbox.waiting_writers.park()
             finally:
-                outbox.full.append((since, trio.current_time()))
+                outbox.full_intervals.append((since, trio.current_time()))
                 outbox.full_since = None
 
     async def send_all(self, data: bytes) -> None:
@@ -421,13 +428,13 @@
         while view:
             view = view[await self.send(view) :]
 
-    # Ends.
+    # Closing.
 
     def shutdown(self, how: int) -> None:
         if self.outbox is None or self.outbox.reset_by_reader:
             raise OSError(errno.ENOTCONN, "not connected")
-        if not self.outbox.shut:
-            self.outbox.shut = True
+        if not self.outbox.write_closed:
+            self.outbox.write_closed = True
             self.outbox.transmit(FIN)
 
     def close(self) -> None:
@@ -436,110 +443,116 @@
         outbox, inbox = self.outbox, self.inbox
         if outbox is not None and inbox is not None:
             unread = bool(inbox.buffer)
-            if not inbox.reset_received and not outbox.reset_by_reader:
+            if not inbox.got_reset and not outbox.reset_by_reader:
                 if unread:
                     outbox.transmit(RST)
-                elif not outbox.shut:
+                elif not outbox.write_closed:
                     outbox.transmit(FIN)
             self.network.record(f"close {outbox.name}{' unread' if unread else ''}")
-        self.forget()
+        self.discard()
 
     def abort(self) -> None:
         """Close with a reset."""
         if not self.closed and self.outbox is not None:
             self.outbox.transmit(RST)
             self.network.record(f"abort {self.outbox.name}")
-        self.forget()
+        self.discard()
 
-    def forget(self) -> None:
-        """Let go of it without a word to the peer."""
+    def discard(self) -> None:
+        """Release the socket without sending anything to the peer."""
         if self.closed:
             return
         self.closed = True
         self.host.sockets.pop(self, None)
-        if self._queue is not None:
+        if self._accept_queue is not None:
             self.host.listeners.pop(self.local_address[1], None)
-            for made in self._queue:
-                made.abort()
-            self._queue = None
+            for accepted in self._accept_queue:
+                accepted.abort()
+            self._accept_queue = None
         if self.inbox is not None and self.outbox is not None:
-            self.inbox.reader_closed = self.outbox.shut = True
+            self.inbox.reader_closed = self.outbox.write_closed = True
             self.inbox.buffer.clear()
-            self.inbox.readers.unpark_all()
-            self.outbox.writers.unpark_all()
+            self.inbox.waiting_readers.unpark_all()
+            self.outbox.waiting_writers.unpark_all()
             if self.outbox.on_closed is not None:
                 self.outbox.on_closed()
         self._waiting.unpark_all()
 
 
 class Network:
-    """The virtual network: hosts, connections and what happens to them."""
+    """The virtual network: its hosts, partitions and queue of scheduled events."""
 
-    def __init__(self, rng: random.Random, weather: NetworkConditions, record: Callable[[str], None]) -> None:
-        self.rng, self.weather, self.record = rng, weather, record
+    def __init__(
+        self, rng: random.Random, conditions: NetworkConditions, record: Callable[[str], None]
+    ) -> None:
+        self.rng, self.conditions, self.record = rng, conditions, record
         self.hosts: dict[str, Host] = {}
-        self.by_address: dict[str, Host] = {}
-        self.holding: dict[Pipe, None] = {}
+        self.hosts_by_address: dict[str, Host] = {}
+        self.blocked_pipes: dict[Pipe, None] = {}
         self.on_open: Callable[[VirtualSocket, VirtualSocket], None] | None = None
         self.on_refused: Callable[[Host, Host], None] | None = None
-        self._cuts: dict[tuple[str, str], int] = {}
-        self._due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = 0
+        self._cut_counts: dict[tuple[str, str], int] = {}
+        self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._event_count = 0
 
     def add_host(self, name: str, address: str) -> Host:
-        made = self.hosts[name] = self.by_address[address] = Host(self, name, address)
-        return made
+        host = self.hosts[name] = self.hosts_by_address[address] = Host(self, name, address)
+        return host
 
-    # Time.
+    # Scheduled events.
 
-    def at(self, when: float, then: Callable[..., None], *args: Any) -> None:
-        self._count += 1
-        heapq.heappush(self._due, (when, self._count, then, args))
+    def schedule_at(self, at: float, callback: Callable[..., None], *args: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at, self._event_count, callback, args))
 
-    def later(self, delay_s: float, then: Callable[..., None], *args: Any) -> None:
-        self.at(trio.current_time() + delay_s, then, *args)
+    def schedule_after(self, delay_s: float, callback: Callable[..., None], *args: Any) -> None:
+        self.schedule_at(trio.current_time() + delay_s, callback, *args)
 
     def next_at(self) -> float:
-        return self._due[0][0] if self._due else math.inf
+        return self._events[0][0] if self._events else math.inf
 
     def advance(self, now: float) -> None:
-        """Let happen what is due, in the order of its causes."""
-        while self._due and self._due[0][0] <= now:
-            _, _, then, args = heapq.heappop(self._due)
-            then(*args)
-
-    # What holds on a way.
-
-    def delay(self, src: Host, dst: Host) -> float:
-        weather = self.weather
-        return weather.delay_s + (self.rng.random() * weather.jitter_s if weather.jitter_s else 0.0)
-
-    def piece(self, count: int) -> int:
-        if count > 1 and self.weather.pieces and self.rng.random() < self.weather.pieces:
+        """Run the events that are due by `now`, in order of time and then of scheduling."""
+        while self._events and self._events[0][0] <= now:
+            _, _, callback, args = heapq.heappop(self._events)
+            callback(*args)
+
+    # Link properties.
+
+    def draw_delay(self, src: Host, dst: Host) -> float:
+        conditions = self.conditions
+        return conditions.delay_s + (self.rng.random() * conditions.jitter_s if conditions.jitter_s else 0.0)
+
+    def draw_io_size(self, count: int) -> int:
+        if (
+            count > 1
+            and self.conditions.partial_io_share
+            and self.rng.random() < self.conditions.partial_io_share
+        ):
             return self.rng.randint(1, count) if self.rng.random() < 0.7 else 1
         return count
 
     def is_cut(self, src: Host, dst: Host) -> bool:
-        return bool(self._cuts) and (src.name, dst.name) in self._cuts
+        return bool(self._cut_counts) and (src.name, dst.name) in self._cut_counts
 
     def cut(self, src: str, dst: str) -> None:
-        """What goes from one to the other waits from now on; cuts may overlap."""
-        self._cuts[src, dst] = self._cuts.get((src, dst), 0) + 1
+        """Hold back all segments from one host to the other; overlapping cuts are counted."""
+        self._cut_counts[src, dst] = self._cut_counts.get((src, dst), 0) + 1
         self.record(f"cut {src}>{dst}")
 
     def heal(self, src: str, dst: str) -> None:
-        left = self._cuts.pop((src, dst), 0) - 1
+        left = self._cut_counts.pop((src, dst), 0) - 1
         if left > 0:
-            self._cuts[src, dst] = left
+            self._cut_counts[src, dst] = left
             return
         self.record(f"heal {src}>{dst}")
-        for pipe in [p for p in self.holding if (p.src.name, p.dst.name) == (src, dst)]:
-            del self.holding[pipe]
-            self.later(self.rng.uniform(*RETRANSMITTED_S), self._release, pipe)
+        for pipe in [p for p in self.blocked_pipes if (p.src.name, p.dst.name) == (src, dst)]:
+            del self.blocked_pipes[pipe]
+            self.schedule_after(self.rng.uniform(*RETRANSMISSION_DELAY_S), self._release_blocked, pipe)
 
-    def _release(self, pipe: Pipe) -> None:
+    def _release_blocked(self, pipe: Pipe) -> None:
         if self.is_cut(pipe.src, pipe.dst):
-            self.holding[pipe] = None
+            self.blocked_pipes[pipe] = None
             return
-        while pipe.held:
-            pipe.deliver(pipe.held.popleft())
+        while pipe.blocked_segments:
+            pipe.deliver(pipe.blocked_segments.popleft())
--- a/sorreldock/lab/simulation/observers.py
+++ b/sorreldock/lab/simulation/observers.py
@@ -222,7 +222,7 @@
     def _closed(self) -> None:
         for attempt in [*self._streams.values(), *([self._current] if self._current else [])]:
             if attempt.over_at is None:
-                attempt.left_by_router = not (self.back.fin_received or self.back.reset_received)
+                attempt.left_by_router = not (self.back.got_fin or self.back.got_reset)
                 if self._http is not None:
                     readable = all(is_event_stream(part) for part, _ in attempt.parts)
                 else:
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -113,9 +113,9 @@
         case "resets":
             host.reset_connections()
         case "narrow":
-            host.rate = max(fault.amount, 100.0)
+            host.bandwidth = max(fault.amount, 100.0)
             await trio.sleep(fault.for_s)
-            host.rate = float("inf")
+            host.bandwidth = float("inf")
 
 
 async def drain(world: World, engine: VirtualEngine) -> None:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -81,7 +81,13 @@
         assert got == data and trio.current_time() - since >= 0.05
 
     for seed in range(5):
-        told(NetworkConditions(delay_s=0.05, jitter_s=0.1, loss=0.1, pieces=0.5, buffer=512), story, seed)
+        told(
+            NetworkConditions(
+                delay_s=0.05, jitter_s=0.1, loss=0.1, partial_io_share=0.5, pipe_capacity_bytes=512
+            ),
+            story,
+            seed,
+        )
 
 
 def test_a_writer_waits_for_a_reader_that_does_not_read() -> None:
@@ -92,7 +98,7 @@
         assert scope.cancelled_caught and one.outbox is not None and one.outbox.bytes_written == 4096
         assert one.outbox.was_full(1.0, 2.0)
 
-    told(NetworkConditions(buffer=4096), story)
+    told(NetworkConditions(pipe_capacity_bytes=4096), story)
 
 
 def test_a_close_with_unread_bytes_is_a_reset_and_one_without_is_an_end() -> None:
