--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -1,4 +1,4 @@
-"""The lab's engine model on the world's sockets, with what can go wrong in an engine."""
+"""The lab's engine model on the simulation's sockets, with the faults that an engine can have."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import Code, trailers
-from ...kserve.framing import frame as message_frame
+from ...kserve.framing import frame as encode_message_frame
 from ..engine import Engine, Job, Output, Verdict
 from ..settings import EngineSettings
 from .frames import Writer
@@ -21,33 +21,33 @@
 from .scenario import EnginePlan
 
 PORT = 9000
-HEAD = [(":status", "200"), ("content-type", "application/grpc")]
-AT_ONCE = ("head", "empty", "garbage", "lost")  # spoils that stand in for the first event
-Gone = (OSError, trio.ClosedResourceError, ParseError)
+GRPC_ANSWER_HEAD = [(":status", "200"), ("content-type", "application/grpc")]
+REPLACES_FIRST_EVENT = ("head", "empty", "garbage", "lost")  # kinds of spoilt answers
+CONNECTION_ERRORS = (OSError, trio.ClosedResourceError, ParseError)
 
 
-class Pending:
-    """What one request has gained and its connection has not written yet."""
+class OutputQueue:
+    """The outputs of one job that its connection has not written yet; None ends them."""
 
     def __init__(self) -> None:
         self.outputs: deque[Output | None] = deque()
-        self._lot = trio.lowlevel.ParkingLot()
+        self._waiting = trio.lowlevel.ParkingLot()
 
     def put(self, output: Output | None) -> None:
         self.outputs.append(output)
-        self._lot.unpark_all()
+        self._waiting.unpark_all()
 
-    def left(self, how: str = "") -> None:
+    def close(self, end: str = "") -> None:
         self.put(None)
 
     async def get(self) -> Output | None:
         while not self.outputs:
-            await self._lot.park()
+            await self._waiting.park()
         return self.outputs.popleft()
 
 
 class VirtualEngine:
-    """An engine on the virtual network."""
+    """An engine on the virtual network, with the faults that a scenario sets."""
 
     def __init__(
         self, judge: Judge, host: Host, uid: str, settings: EngineSettings, started_at: float
@@ -58,18 +58,18 @@
         self.paused_until = 0.0
         self.spoil_kind, self.spoils_left = "", 0
         self.plan = EnginePlan()
-        self._pending: dict[str, Pending] = {}
-        self._due = math.inf
-        self._count = 0
+        self._output_queues: dict[str, OutputQueue] = {}
+        self._step_due_at = math.inf
+        self._job_count = 0
 
     @property
     def endpoint(self) -> str:
         return f"{self.host.address}:{PORT}"
 
-    # Its process.
+    # The process.
 
     async def serve(self, nursery: trio.Nursery) -> None:
-        await self.host.serve(PORT, self._attend, nursery)
+        await self.host.serve(PORT, self._handle_connection, nursery)
 
     def close_port(self) -> None:
         listener = self.host.listeners.get(PORT)
@@ -77,10 +77,10 @@
             listener.close()
 
     def end(self) -> None:
-        """Its process has ended: the kernel closes what it held."""
+        """End the process: its streams end and the kernel closes its sockets."""
         self.ended = True
-        for pending in self._pending.values():
-            pending.put(None)
+        for queue in self._output_queues.values():
+            queue.put(None)
         self.host.close_sockets()
 
     def set_slowdown(self, factor: float) -> None:
@@ -92,48 +92,48 @@
     def pause_until(self, until: float) -> None:
         self.paused_until = max(self.paused_until, until)
 
-    # Its model.
+    # The model.
 
-    def _drive(self) -> None:
+    def _schedule_step(self) -> None:
         at = self.model.next_at()
-        if at is not None and at < self._due:
-            self._due = at
+        if at is not None and at < self._step_due_at:
+            self._step_due_at = at
             self.host.network.schedule_at(at, self._step)
 
     def _step(self) -> None:
-        self._due = math.inf
+        self._step_due_at = math.inf
         for output in self.model.advance(trio.current_time()):
-            pending = self._pending.get(output.name)
-            if pending is not None:
-                pending.put(output)
-        self._drive()
+            queue = self._output_queues.get(output.name)
+            if queue is not None:
+                queue.put(output)
+        self._schedule_step()
 
-    def _offer(self, job: Job) -> Pending | Verdict:
+    def _offer_job(self, job: Job) -> OutputQueue | Verdict:
         now = trio.current_time()
         if self.full:
             return Verdict.FULL
         for output in self.model.advance(now):
-            if output.name in self._pending:
-                self._pending[output.name].put(output)
-        was = self.model.fallen
+            if output.name in self._output_queues:
+                self._output_queues[output.name].put(output)
+        had_fallen = self.model.fallen
         verdict = self.model.offer(now, job)
         if verdict is Verdict.FALLEN:
-            if not was:
+            if not had_fallen:
                 share = self.model.share(now)
                 self.judge.violation(
                     "cold", f"{self.uid} was pushed over at {share:.2f} of its speed", self.host.name
                 )
-            for pending in self._pending.values():
-                pending.put(None)
+            for queue in self._output_queues.values():
+                queue.put(None)
         if verdict is not Verdict.TAKEN:
             return verdict
-        made = self._pending[job.name] = Pending()
-        self._drive()
-        return made
+        new_queue = self._output_queues[job.name] = OutputQueue()
+        self._schedule_step()
+        return new_queue
 
-    # Its connections.
+    # Connections.
 
-    async def _attend(self, sock: VirtualSocket) -> None:
+    async def _handle_connection(self, sock: VirtualSocket) -> None:
         try:
             first = b""
             while len(first) < 3:
@@ -142,67 +142,69 @@
                     return
                 first += data
             if first.startswith(b"PRI"):
-                await GrpcSide(self, sock).run(first)
+                await GrpcConnection(self, sock).run(first)
             else:
-                await HttpSide(self, sock).run(first)
-        except Gone:
+                await HttpConnection(self, sock).run(first)
+        except CONNECTION_ERRORS:
             pass
         finally:
             sock.close()
 
-    def job(self, body: bytes) -> Job:
+    def parse_job(self, body: bytes) -> Job:
+        """Return the job that a request's body describes; a body that isn't readable gets a small one."""
         try:
             chat = json.loads(body)
             prompt, output = int(chat["prompt_tokens"]), int(chat["max_tokens"])
         except (ValueError, LookupError, TypeError):
             prompt, output = 100, 4
-        self._count += 1
-        return Job(f"{self._count}", prompt, output)
+        self._job_count += 1
+        return Job(f"{self._job_count}", prompt, output)
 
-    def take_spoil(self) -> str:
+    def take_spoil_kind(self) -> str:
+        """Return how to spoil the next answer, or an empty string for an intact one."""
         if self.spoils_left <= 0:
             return ""
         self.spoils_left -= 1
         return self.spoil_kind
 
-    async def until_left(self, sock: VirtualSocket) -> None:
+    async def receive_until_end(self, sock: VirtualSocket) -> None:
         while await sock.recv():
             pass
 
-    async def outputs(self, sock: VirtualSocket, job: Job) -> Pending | Verdict:
-        """Offer a job; what is taken must be `done`."""
-        made = self._offer(job)
-        if isinstance(made, Pending):
+    async def offer(self, sock: VirtualSocket, job: Job) -> OutputQueue | Verdict:
+        """Offer a job to the model; a job that it takes must be passed to `finish`."""
+        result = self._offer_job(job)
+        if isinstance(result, OutputQueue):
             assert sock.inbox is not None
-            sock.inbox.on_end.append(made.left)
-        return made
-
-    def done(self, sock: VirtualSocket, job: Job, pending: Pending, whole: bool) -> None:
-        self._pending.pop(job.name, None)
-        if sock.inbox is not None and pending.left in sock.inbox.on_end:
-            sock.inbox.on_end.remove(pending.left)
-        if not whole:
+            sock.inbox.on_end.append(result.close)
+        return result
+
+    def finish(self, sock: VirtualSocket, job: Job, queue: OutputQueue, completed: bool) -> None:
+        self._output_queues.pop(job.name, None)
+        if sock.inbox is not None and queue.close in sock.inbox.on_end:
+            sock.inbox.on_end.remove(queue.close)
+        if not completed:
             self.model.cancel(trio.current_time(), job.name)
 
-    async def unpaused(self) -> None:
+    async def wait_while_paused(self) -> None:
         while trio.current_time() < self.paused_until:
             await trio.sleep_until(self.paused_until)
 
-    def report(self) -> str:
+    def load_report(self) -> str:
         return self.model.report(trio.current_time()).text()
 
 
-def event(number: int, finish: str = "") -> bytes:
+def encode_event(number: int, finish: str = "") -> bytes:
     end = f',"finish_reason":"{finish}"' if finish else ""
     return f'data: {{"choices":[{{"index":0,"delta":{{"content":"w{number} "}}{end}}}]}}\n\n'.encode()
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class HttpSide:
-    """The HTTP/1.1 side of a virtual engine."""
+class HttpConnection:
+    """A connection to a virtual engine over HTTP/1.1."""
 
     def __init__(self, engine: VirtualEngine, sock: VirtualSocket) -> None:
         self.engine, self.sock = engine, sock
@@ -219,93 +221,96 @@
                     body += item.data
                 elif isinstance(item, End):
                     assert head is not None
-                    if not await self.answer(head, body):
+                    if not await self.handle_request(head, body):
                         return
             data = await self.sock.recv()
 
-    async def plain(self, status: str, extra: str = "") -> bool:
-        report = f"Endpoint-Load-Metrics: {self.engine.report()}\r\n"
+    async def send_empty_answer(self, status: str, extra: str = "") -> bool:
+        report = f"Endpoint-Load-Metrics: {self.engine.load_report()}\r\n"
         text = f"HTTP/1.1 {status}\r\n{report}{extra}Content-Length: 0\r\n\r\n"
         await self.sock.send_all(text.encode())
         return True
 
-    async def answer(self, head: Head, body: bytes) -> bool:
-        """Answer a request; tells whether the connection goes on."""
+    async def handle_request(self, head: Head, body: bytes) -> bool:
+        """Answer a request; return whether the connection may carry another one."""
         engine, sock = self.engine, self.sock
-        await engine.unpaused()
+        await engine.wait_while_paused()
         if not head.start_line.startswith(b"POST "):
-            return await self.plain("200 OK")
+            return await self.send_empty_answer("200 OK")
         if engine.hangs:
-            await engine.until_left(sock)
+            await engine.receive_until_end(sock)
             return False
-        job = engine.job(body)
-        pending = await engine.outputs(sock, job)
-        if pending is Verdict.ERROR:
-            return await self.plain("500 Error")
-        if pending is Verdict.FALLEN:
+        job = engine.parse_job(body)
+        queue = await engine.offer(sock, job)
+        if queue is Verdict.ERROR:
+            return await self.send_empty_answer("500 Error")
+        if queue is Verdict.FALLEN:
             return False
-        if isinstance(pending, Verdict):
-            return await self.plain("503 Full", "X-Never-Ran: 1\r\n")
-        whole, spoil = False, engine.take_spoil()
+        if isinstance(queue, Verdict):
+            return await self.send_empty_answer("503 Full", "X-Never-Ran: 1\r\n")
+        completed, spoil_kind = False, engine.take_spoil_kind()
         try:
-            whole = await self._stream(job, pending, spoil)
+            completed = await self._stream(job, queue, spoil_kind)
         finally:
-            engine.done(sock, job, pending, whole)
-        return whole and not spoil and not engine.plan.brief
+            engine.finish(sock, job, queue, completed)
+        return completed and not spoil_kind and not engine.plan.brief
 
-    async def _stream(self, job: Job, pending: Pending, spoil: str) -> bool:
+    async def _stream(self, job: Job, queue: OutputQueue, spoil_kind: str) -> bool:
         engine, sock, count = self.engine, self.sock, 0
         head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         opening = f"{head}Transfer-Encoding: chunked\r\n\r\n".encode()
-        while (output := await pending.get()) is not None:
-            await engine.unpaused()
+        while (output := await queue.get()) is not None:
+            await engine.wait_while_paused()
             count += 1
-            if spoil and (count > 1 or spoil in AT_ONCE or output.done):
-                return await self._spoilt(spoil, opening if count == 1 else b"", head.encode())
+            if spoil_kind and (count > 1 or spoil_kind in REPLACES_FIRST_EVENT or output.done):
+                return await self._send_spoilt(spoil_kind, opening if count == 1 else b"", head.encode())
             data = opening if count == 1 else b""
-            data += chunk(event(count, "stop" if output.done else ""))
+            data += encode_chunk(encode_event(count, "stop" if output.done else ""))
             if output.done:
                 cached = f'{{"cached_tokens":{output.kept_tokens}}}'
                 usage = f'data: {{"choices":[],"usage":{{"prompt_tokens_details":{cached}}}}}\n\n'
-                data += chunk(usage.encode() + b"data: [DONE]\n\n")
-                data += chunk(f": Endpoint-Load-Metrics: {engine.report()}\n\n".encode()) + b"0\r\n\r\n"
+                data += encode_chunk(usage.encode() + b"data: [DONE]\n\n")
+                data += (
+                    encode_chunk(f": Endpoint-Load-Metrics: {engine.load_report()}\n\n".encode())
+                    + b"0\r\n\r\n"
+                )
             await sock.send_all(data)
             if output.done:
                 return True
         return False
 
-    async def _spoilt(self, how: str, opening: bytes, head: bytes) -> bool:
-        """In place of the next event. False: the connection ends."""
-        sock, whole = self.sock, opening + chunk(event(0))
-        match how:
+    async def _send_spoilt(self, kind: str, opening: bytes, head: bytes) -> bool:
+        """Send a spoilt answer in place of the next event; return False, so that the connection ends."""
+        sock, event_chunk = self.sock, opening + encode_chunk(encode_event(0))
+        match kind:
             case "cut":
-                await sock.send_all(whole)
+                await sock.send_all(event_chunk)
             case "reset":
-                await sock.send_all(whole)
+                await sock.send_all(event_chunk)
                 sock.abort()
             case "size":
-                await sock.send_all(opening + b"7\r\n" + event(0) + b"\r\n")
+                await sock.send_all(opening + b"7\r\n" + encode_event(0) + b"\r\n")
             case "noise":
-                await sock.send_all(opening + chunk(b"\x00\x01 not an event\n\n") + b"0\r\n\r\n")
+                await sock.send_all(opening + encode_chunk(b"\x00\x01 not an event\n\n") + b"0\r\n\r\n")
             case "half":
-                await sock.send_all(opening + chunk(event(0))[:-20])
-                await self.engine.until_left(sock)
+                await sock.send_all(opening + encode_chunk(encode_event(0))[:-20])
+                await self.engine.receive_until_end(sock)
             case "head":
                 await sock.send_all(head)
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "empty":
                 await sock.send_all(opening)
             case "lost":
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "garbage":
                 await sock.send_all(b"\x16\x03\x01\x02\x00 none of this is HTTP\r\n\r\n")
             case "extra":
-                await sock.send_all(whole + b"0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+                await sock.send_all(event_chunk + b"0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         return False
 
 
-class GrpcSide:
-    """The gRPC side of a virtual engine."""
+class GrpcConnection:
+    """A connection to a virtual engine over gRPC."""
 
     def __init__(self, engine: VirtualEngine, sock: VirtualSocket) -> None:
         self.engine, self.sock = engine, sock
@@ -317,113 +322,122 @@
         bodies: dict[int, bytes] = {}
         await self.sock.send_all(self.writer.opening(client=False))
         while data:
-            out = b""
-            for got in reader.feed(data):
-                if got.kind == HEADERS:
-                    paths[got.stream], bodies[got.stream] = reader.decode_fields(got).get(":path", ""), b""
-                elif got.kind == DATA and got.stream in bodies:
-                    bodies[got.stream] += got.data()
-                out += self.writer.reply(got)
-                if got.ends and got.stream in bodies:
-                    if out:
-                        await self.sock.send_all(out)
-                        out = b""
-                    if not await self.answer(got.stream, paths.pop(got.stream), bodies.pop(got.stream)):
+            unsent = b""
+            for frame in reader.feed(data):
+                if frame.kind == HEADERS:
+                    paths[frame.stream], bodies[frame.stream] = (
+                        reader.decode_fields(frame).get(":path", ""),
+                        b"",
+                    )
+                elif frame.kind == DATA and frame.stream in bodies:
+                    bodies[frame.stream] += frame.data()
+                unsent += self.writer.reply(frame)
+                if frame.ends and frame.stream in bodies:
+                    if unsent:
+                        await self.sock.send_all(unsent)
+                        unsent = b""
+                    if not await self.handle_request(
+                        frame.stream, paths.pop(frame.stream), bodies.pop(frame.stream)
+                    ):
                         return
-            if out:
-                await self.sock.send_all(out)
+            if unsent:
+                await self.sock.send_all(unsent)
             data = await self.sock.recv()
 
-    def status(self, stream: int, code: int, begun: bool, **extra: str) -> bytes:
-        fields = [("endpoint-load-metrics", self.engine.report())]
-        fields += [(k.replace("_", "-"), v) for k, v in extra.items()]
-        out = trailers(code, "", fields)
-        return self.writer.headers(stream, out if begun else [*HEAD, *out], ends=True)
+    def encode_status(self, stream: int, code: int, has_begun: bool, **extra: str) -> bytes:
+        """Return the trailers with a status; without a body before them, as a trailers-only answer."""
+        fields = [("endpoint-load-metrics", self.engine.load_report())]
+        fields += [(name.replace("_", "-"), value) for name, value in extra.items()]
+        end = trailers(code, "", fields)
+        return self.writer.headers(stream, end if has_begun else [*GRPC_ANSWER_HEAD, *end], ends=True)
 
-    async def answer(self, stream: int, path: str, body: bytes) -> bool:
+    async def handle_request(self, stream: int, path: str, body: bytes) -> bool:
         engine, sock = self.engine, self.sock
-        await engine.unpaused()
+        await engine.wait_while_paused()
         if engine.hangs:
-            await engine.until_left(sock)
+            await engine.receive_until_end(sock)
             return False
         request = pb.ModelInferRequest.FromString(body[5:])
         raw = request.raw_input_contents[0] if request.raw_input_contents else b""
-        job = engine.job(raw[4:])
-        pending = await engine.outputs(sock, job)
-        if pending is Verdict.FALLEN:
+        job = engine.parse_job(raw[4:])
+        queue = await engine.offer(sock, job)
+        if queue is Verdict.FALLEN:
             return False
-        if isinstance(pending, Verdict):
-            if pending is Verdict.ERROR:
-                await sock.send_all(self.status(stream, Code.INTERNAL, False))
+        if isinstance(queue, Verdict):
+            if queue is Verdict.ERROR:
+                await sock.send_all(self.encode_status(stream, Code.INTERNAL, False))
             else:
-                await sock.send_all(self.status(stream, Code.UNAVAILABLE, False, x_never_ran="1"))
+                await sock.send_all(self.encode_status(stream, Code.UNAVAILABLE, False, x_never_ran="1"))
             return True
-        whole, spoil = False, engine.take_spoil()
+        completed, spoil_kind = False, engine.take_spoil_kind()
         try:
-            unary = not path.endswith("ModelStreamInfer")
-            whole = await self._stream(stream, request.id, pending, spoil, unary)
+            is_unary = not path.endswith("ModelStreamInfer")
+            completed = await self._stream(stream, request.id, queue, spoil_kind, is_unary)
         finally:
-            engine.done(sock, job, pending, whole)
-        return whole and not spoil and not engine.plan.brief
+            engine.finish(sock, job, queue, completed)
+        return completed and not spoil_kind and not engine.plan.brief
 
-    def _message(self, name: str, number: int, unary: bool) -> bytes:
+    def _message(self, name: str, number: int, is_unary: bool) -> bytes:
         text = f"w{number} ".encode()
-        out = pb.ModelInferResponse(
+        response = pb.ModelInferResponse(
             model_name="desc", id=name, raw_output_contents=[len(text).to_bytes(4, "little") + text]
         )
-        made = out if unary else pb.ModelStreamInferResponse(infer_response=out)
-        return message_frame(made.SerializeToString())
+        message = response if is_unary else pb.ModelStreamInferResponse(infer_response=response)
+        return encode_message_frame(message.SerializeToString())
 
-    async def _stream(self, stream: int, name: str, pending: Pending, spoil: str, unary: bool) -> bool:
+    async def _stream(
+        self, stream: int, name: str, queue: OutputQueue, spoil_kind: str, is_unary: bool
+    ) -> bool:
         engine, sock, count = self.engine, self.sock, 0
-        while (output := await pending.get()) is not None:
-            if unary and not output.done:
+        while (output := await queue.get()) is not None:
+            if is_unary and not output.done:
                 continue
-            await engine.unpaused()
+            await engine.wait_while_paused()
             count += 1
-            data = self.writer.headers(stream, HEAD) if count == 1 else b""
-            message = self._message(name, count, unary)
-            if spoil and (count > 1 or output.done or spoil in AT_ONCE):
-                return await self._spoilt(spoil, stream, data, message)
+            data = self.writer.headers(stream, GRPC_ANSWER_HEAD) if count == 1 else b""
+            message = self._message(name, count, is_unary)
+            if spoil_kind and (count > 1 or output.done or spoil_kind in REPLACES_FIRST_EVENT):
+                return await self._send_spoilt(spoil_kind, stream, data, message)
             data += self.writer.data(stream, message)
             if output.done:
-                data += self.status(stream, Code.OK, True)
+                data += self.encode_status(stream, Code.OK, True)
                 data += self.writer.goaway(stream, 0) if engine.plan.brief else b""
             await sock.send_all(data)
             if output.done:
-                if engine.plan.brief:  # as a server that closes with bytes unread
+                if engine.plan.brief:  # like a server that closes its socket with unread bytes
                     sock.abort()
                 return True
         return False
 
-    async def _spoilt(self, how: str, stream: int, opening: bytes, message: bytes) -> bool:
+    async def _send_spoilt(self, kind: str, stream: int, opening: bytes, message: bytes) -> bool:
+        """Do the same as `HttpConnection._send_spoilt`, in place of the next message."""
         sock, writer = self.sock, self.writer
-        match how:
+        match kind:
             case "cut":
                 await sock.send_all(opening + writer.data(stream, message))
             case "reset":
                 await sock.send_all(opening + writer.reset(stream, 2))
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "size":
                 await sock.send_all(
-                    opening + writer.data(stream, message[:-3]) + self.status(stream, Code.OK, True)
+                    opening + writer.data(stream, message[:-3]) + self.encode_status(stream, Code.OK, True)
                 )
             case "noise":
                 await sock.send_all(opening + writer.data(stream, b"\x01" + message[1:]))
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "half":
                 await sock.send_all((opening + writer.data(stream, message))[:-4])
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "head":
                 await sock.send_all(opening[:12])
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "empty":
                 await sock.send_all(opening)
             case "lost":
-                await self.engine.until_left(sock)
+                await self.engine.receive_until_end(sock)
             case "garbage":
                 await sock.send_all(b"\xff" * 40)
             case "extra":
-                end = self.status(stream, Code.OK, True)
+                end = self.encode_status(stream, Code.OK, True)
                 await sock.send_all(opening + writer.data(stream, message) + end + writer.goaway(stream, 0))
         return False
