--- a/sorreldock/lab/simulation/clients.py
+++ b/sorreldock/lab/simulation/clients.py
@@ -13,7 +13,7 @@
 from ...kserve import kserve_pb2 as pb
 from ...kserve.framing import format_timeout
 from ...kserve.framing import frame as message_frame
-from .frames import Writer
+from .frames import FrameWriter
 from .network import Host, VirtualSocket
 from .readers import HEADERS, End, FrameReader, Head, HttpReader, ParseError
 from .scenario import RequestPlan
@@ -176,8 +176,11 @@
             whole[: self.rng.randrange(1, len(whole))],
             whole.replace(b"Content-Length", b"Transfer-Encoding: chunked\r\nContent-Length"),
             b"GET / HTTP/1.1\r\n" + b"a: " + b"b" * 40000,
-            Writer().opening(client=True) + b"\x00\x00\x04\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00",
-            Writer().opening(client=True) + b"\x7f\xff\xff\x00\x00\x00\x00\x00\x01" + b"z" * 60,
+            FrameWriter().preface(client=True)
+            + b"\x00\x00\x04\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00",
+            FrameWriter().preface(client=True)
+            + b"\x7f\xff\xff\x00\x00\x00\x00\x00\x01"
+            + b"z" * 60,
             b"",
         ]
         try:
@@ -197,7 +200,7 @@
         if line is None or not line.usable:
             line = self.lines[address] = GrpcLine(await self.dial(address, GRPC_PORT))
             line.slow = plan.client == "slow"
-            await line.sock.send_all(line.writer.opening(client=True))
+            await line.sock.send_all(line.writer.preface(client=True))
             nursery.start_soon(line.run)
         unary = plan.output_tokens == 2
         stream, over = line.open()
@@ -210,7 +213,7 @@
             await over.wait()
         if scope.cancelled_caught:
             line.over.pop(stream, None)
-            line.out += line.writer.reset(stream, 8)
+            line.out += line.writer.rst_stream(stream, 8)
             await line.flush()
 
 
@@ -219,7 +222,7 @@
 
     def __init__(self, sock: VirtualSocket) -> None:
         self.sock = sock
-        self.writer = Writer()
+        self.writer = FrameWriter()
         self.out = b""
         self.over: dict[int, trio.Event] = {}
         self.slow = self.going = False
@@ -258,7 +261,7 @@
                         reader.decode_fields(got)
                     elif got.kind == 7:
                         self.going = True
-                    self.out += self.writer.reply(got)
+                    self.out += self.writer.acknowledge(got)
                     if (got.ends or got.kind == 3) and got.stream in self.over:
                         self.over.pop(got.stream).set()
                 if self.out:
--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -14,7 +14,7 @@
 from ...kserve.framing import frame as encode_message_frame
 from ..engine import Engine, Job, Output, Verdict
 from ..settings import EngineSettings
-from .frames import Writer
+from .frames import FrameWriter
 from .invariants import Judge
 from .network import Host, VirtualSocket
 from .readers import DATA, HEADERS, End, FrameReader, Head, HttpReader, ParseError, Part
@@ -314,13 +314,13 @@
 
     def __init__(self, engine: VirtualEngine, sock: VirtualSocket) -> None:
         self.engine, self.sock = engine, sock
-        self.writer = Writer()
+        self.writer = FrameWriter()
 
     async def run(self, first: bytes) -> None:
         reader, data = FrameReader(preface=True), first
         paths: dict[int, str] = {}
         bodies: dict[int, bytes] = {}
-        await self.sock.send_all(self.writer.opening(client=False))
+        await self.sock.send_all(self.writer.preface(client=False))
         while data:
             unsent = b""
             for frame in reader.feed(data):
@@ -331,7 +331,7 @@
                     )
                 elif frame.kind == DATA and frame.stream in bodies:
                     bodies[frame.stream] += frame.data()
-                unsent += self.writer.reply(frame)
+                unsent += self.writer.acknowledge(frame)
                 if frame.ends and frame.stream in bodies:
                     if unsent:
                         await self.sock.send_all(unsent)
@@ -416,7 +416,7 @@
             case "cut":
                 await sock.send_all(opening + writer.data(stream, message))
             case "reset":
-                await sock.send_all(opening + writer.reset(stream, 2))
+                await sock.send_all(opening + writer.rst_stream(stream, 2))
                 await self.engine.receive_until_end(sock)
             case "size":
                 await sock.send_all(
--- a/sorreldock/lab/simulation/frames.py
+++ b/sorreldock/lab/simulation/frames.py
@@ -1,4 +1,4 @@
-"""HTTP/2 and gRPC as the world's own peers write it: a few frames by hand (RFC 9113 section 6). No I/O."""
+"""An encoder of the few HTTP/2 frames that the simulation's own peers send (RFC 9113 section 6). No I/O."""
 
 from __future__ import annotations
 
@@ -12,58 +12,63 @@
 WINDOW_UPDATE = 8
 END_HEADERS = 0x4
 ACK = 0x1
-LARGEST = 16384
-ROOM = 1 << 24
+MAX_FRAME_BYTES = 16384
+WINDOW_BYTES = 1 << 24
 
 
-def frame(kind: int, flags: int, stream: int, body: bytes = b"") -> bytes:
+def encode_frame(kind: int, flags: int, stream: int, body: bytes = b"") -> bytes:
     return struct.pack(">I", len(body))[1:] + bytes((kind, flags)) + struct.pack(">I", stream) + body
 
 
-class Writer:
-    """One end's frames; its field sections share a table."""
+class FrameWriter:
+    """An encoder of the frames of one end; its field sections share an HPACK table."""
 
     def __init__(self) -> None:
         self._hpack = hpack.Encoder()
 
-    def opening(self, client: bool) -> bytes:
-        """With room for all that the world's streams hold."""
-        settings = frame(SETTINGS, 0, 0, struct.pack(">HI", 4, ROOM))
-        return (PREFACE if client else b"") + settings + frame(WINDOW_UPDATE, 0, 0, struct.pack(">I", ROOM))
+    def preface(self, client: bool) -> bytes:
+        """Return the preface, with windows large enough for all that the simulation's streams carry."""
+        settings = encode_frame(SETTINGS, 0, 0, struct.pack(">HI", 4, WINDOW_BYTES))
+        return (
+            (PREFACE if client else b"")
+            + settings
+            + encode_frame(WINDOW_UPDATE, 0, 0, struct.pack(">I", WINDOW_BYTES))
+        )
 
     def headers(self, stream: int, fields: Iterable[tuple[str, str]], ends: bool = False) -> bytes:
         block = self._hpack.encode(list(fields))
-        return frame(HEADERS, END_HEADERS | (END_STREAM if ends else 0), stream, block)
+        return encode_frame(HEADERS, END_HEADERS | (END_STREAM if ends else 0), stream, block)
 
     @staticmethod
     def data(stream: int, body: bytes, ends: bool = False) -> bytes:
-        parts = [body[k : k + LARGEST] for k in range(0, len(body), LARGEST)] or [b""]
+        parts = [body[at : at + MAX_FRAME_BYTES] for at in range(0, len(body), MAX_FRAME_BYTES)] or [b""]
         last = len(parts) - 1
         return b"".join(
-            frame(DATA, END_STREAM if ends and k == last else 0, stream, p) for k, p in enumerate(parts)
+            encode_frame(DATA, END_STREAM if ends and index == last else 0, stream, part)
+            for index, part in enumerate(parts)
         )
 
     @staticmethod
-    def reset(stream: int, code: int) -> bytes:
-        return frame(RST_STREAM, 0, stream, struct.pack(">I", code))
+    def rst_stream(stream: int, code: int) -> bytes:
+        return encode_frame(RST_STREAM, 0, stream, struct.pack(">I", code))
 
     @staticmethod
     def goaway(last: int, code: int) -> bytes:
-        return frame(GOAWAY, 0, 0, struct.pack(">II", last, code))
+        return encode_frame(GOAWAY, 0, 0, struct.pack(">II", last, code))
 
     @staticmethod
-    def room(stream: int, count: int) -> bytes:
-        return frame(WINDOW_UPDATE, 0, stream, struct.pack(">I", count)) if count else b""
+    def window_update(stream: int, count: int) -> bytes:
+        return encode_frame(WINDOW_UPDATE, 0, stream, struct.pack(">I", count)) if count else b""
 
     @staticmethod
-    def reply(got: Frame) -> bytes:
-        """What the protocol asks in return: settings and pings are acknowledged, room is given back."""
-        if got.kind == SETTINGS and not got.flags & ACK:
-            return frame(SETTINGS, ACK, 0)
-        if got.kind == PING and not got.flags & ACK:
-            return frame(PING, ACK, 0, got.body)
-        if got.kind == DATA and got.body:
-            return Writer.room(0, len(got.body)) + (
-                b"" if got.ends else Writer.room(got.stream, len(got.body))
+    def acknowledge(frame: Frame) -> bytes:
+        """Return the frames due in reply: acknowledgements of SETTINGS and PING, window updates for DATA."""
+        if frame.kind == SETTINGS and not frame.flags & ACK:
+            return encode_frame(SETTINGS, ACK, 0)
+        if frame.kind == PING and not frame.flags & ACK:
+            return encode_frame(PING, ACK, 0, frame.body)
+        if frame.kind == DATA and frame.body:
+            return FrameWriter.window_update(0, len(frame.body)) + (
+                b"" if frame.ends else FrameWriter.window_update(frame.stream, len(frame.body))
             )
         return b""
