--- a/sorreldock/lab/simulation/determinism.py
+++ b/sorreldock/lab/simulation/determinism.py
@@ -1,6 +1,4 @@
-"""What makes a run the same everywhere, and finds out what reads the clock or draws behind the seam's
-back.
-"""
+"""Deterministic runs: a seeded scheduler, a virtual clock, and a guard against calls that bypass `System`."""
 
 from __future__ import annotations
 
@@ -21,26 +19,28 @@
 from trio._core._run import GLOBAL_RUN_CONTEXT
 from trio.testing import MockClock
 
-WATCHED = (
+GUARDED_MODULES = (
     "sorreldock.routing",
     "sorreldock.protocol",
     "sorreldock.transport",
     "sorreldock.program",
     "sorreldock.rules",
 )
-MOST_PASSES = 20_000  # of the scheduler, at one moment of the world
+MAX_PASSES_AT_ONE_TIME = 20_000  # passes of the scheduler
 
 
 class NondeterminismError(RuntimeError):
-    """The router has read the machine's clock, drawn from its randomness, or started a thread."""
+    """The router has read the real clock, drawn from the real random sources, or started a thread."""
 
 
 @contextmanager
 def seeded_scheduler(seed: int) -> Iterator[None]:
-    """Let trio order what runs at one moment by the seed alone. (The switch is the one that trio keeps for
-    Hypothesis.) The collector rests: what it finds, and when, depends on all that ran before.
+    """Let the seed alone decide in which order trio runs the tasks that are ready at the same time.
+
+    This uses the switch that trio has for Hypothesis. The garbage collector is off meanwhile, since what it
+    collects, and when, depends on everything that the process ran before.
     """
-    was, collecting = scheduler._ALLOW_DETERMINISTIC_SCHEDULING, gc.isenabled()
+    was_deterministic, was_collecting = scheduler._ALLOW_DETERMINISTIC_SCHEDULING, gc.isenabled()
     state = scheduler._r.getstate()
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     scheduler._r.seed(f"scheduler {seed}")
@@ -48,16 +48,17 @@
     try:
         yield
     finally:
-        scheduler._ALLOW_DETERMINISTIC_SCHEDULING = was  # type: ignore[misc]
+        scheduler._ALLOW_DETERMINISTIC_SCHEDULING = was_deterministic  # type: ignore[misc]
         scheduler._r.setstate(state)
-        if collecting:
+        if was_collecting:
             gc.enable()
 
 
 def virtual_clock(next_at: Callable[[], float], advance: Callable[[float], None]) -> MockClock:
-    """Virtual time: when all tasks wait, it jumps to the next deadline or the network's next event, whichever
-    is first. trio lets no clock but its own MockClock jump, and none derive from it: this one's methods are
-    replaced, since its own reads the machine's clock each time and knows of deadlines alone.
+    """Return a clock that jumps to the next deadline or network event when all tasks wait.
+
+    trio lets no clock but its own MockClock jump, and MockClock can't be subclassed. Its own methods would
+    read the real clock each time and consider deadlines alone, so those of this instance are replaced.
     """
     clock, now = MockClock(autojump_threshold=0), 0.0
 
@@ -85,9 +86,9 @@
 
 
 class NondeterminismGuard:
-    """While it is open, no module of the router may reach past its `System`."""
+    """A context in which modules of the router that bypass their `System` raise NondeterminismError."""
 
-    PLACES: tuple[tuple[Any, str], ...] = (
+    GUARDED_FUNCTIONS: tuple[tuple[Any, str], ...] = (
         (time, "time"),
         (time, "monotonic"),
         (os, "urandom"),
@@ -99,43 +100,43 @@
     )
 
     def __enter__(self) -> NondeterminismGuard:
-        self._were = [(module, name, getattr(module, name)) for module, name in self.PLACES]
-        for module, name, real in self._were:
-            setattr(module, name, self._watched(f"{module.__name__}.{name}", real))
+        self._originals = [(module, name, getattr(module, name)) for module, name in self.GUARDED_FUNCTIONS]
+        for module, name, original in self._originals:
+            setattr(module, name, self._guard(f"{module.__name__}.{name}", original))
         return self
 
     @staticmethod
-    def _watched(what: str, real: Callable[..., Any]) -> Callable[..., Any]:
-        def watched(*args: Any, **kwargs: Any) -> Any:
+    def _guard(name: str, original: Callable[..., Any]) -> Callable[..., Any]:
+        def guarded(*args: Any, **kwargs: Any) -> Any:
             caller = sys._getframe(1)
             module = str(caller.f_globals.get("__name__", ""))
-            if module.startswith(WATCHED):
-                raise NondeterminismError(f"{what} in {module}, line {caller.f_lineno}")
-            return real(*args, **kwargs)
+            if module.startswith(GUARDED_MODULES):
+                raise NondeterminismError(f"{name} in {module}, line {caller.f_lineno}")
+            return original(*args, **kwargs)
 
-        return watched
+        return guarded
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, at: TracebackType | None
     ) -> None:
-        for module, name, real in self._were:
-            setattr(module, name, real)
+        for module, name, original in self._originals:
+            setattr(module, name, original)
 
 
 class StallDetector(trio.abc.Instrument):
-    """Ends a run in which the scheduler goes round and time stands still."""
+    """An instrument that ends a run in which tasks keep running while the virtual time stands still."""
 
-    def __init__(self, stuck: Callable[[], None]) -> None:
+    def __init__(self, on_stall: Callable[[], None]) -> None:
         self.scope = trio.CancelScope()
-        self._stuck = stuck
-        self._at, self._count = -1.0, 0
+        self._on_stall = on_stall
+        self._last_time, self._pass_count = -1.0, 0
 
     def before_io_wait(self, timeout: float) -> None:
         now = trio.current_time()
-        if now != self._at:
-            self._at, self._count = now, 0
+        if now != self._last_time:
+            self._last_time, self._pass_count = now, 0
             return
-        self._count += 1
-        if self._count == MOST_PASSES:
-            self._stuck()
+        self._pass_count += 1
+        if self._pass_count == MAX_PASSES_AT_ONE_TIME:
+            self._on_stall()
             self.scope.cancel()
--- a/sorreldock/lab/simulation/lists.py
+++ b/sorreldock/lab/simulation/lists.py
@@ -1,4 +1,4 @@
-"""The lab's directory on the world's sockets: what discovery tells, and how it fails to."""
+"""The lab's directory as a discovery service on the simulated network, with the faults that it can have."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 class VirtualDiscovery:
-    """Discovery on the virtual network."""
+    """A discovery service on the virtual network.
+
+    While `stale` is set, watches get keep-alives but no changes; while `silent` is set, they get nothing.
+    """
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.directory = Directory()
         self.stale = self.silent = False
-        self.malformed_lines: list[bytes] = []  # the next lines, one a watch
-        self._told = trio.Event()
+        self.malformed_lines: list[bytes] = []  # sent in place of the next lines, one per watch
+        self._changed = trio.Event()
 
     @property
     def address(self) -> str:
@@ -37,62 +40,64 @@
         self.notify_watches()
 
     def notify_watches(self) -> None:
-        self._told.set()
-        self._told = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     async def serve(self, nursery: trio.Nursery) -> None:
-        await self.host.serve(PORT, self._attend, nursery)
+        await self.host.serve(PORT, self._handle_connection, nursery)
 
-    def reset_connections(self) -> None:
-        """Its port is closed, and its watches are reset."""
+    def shut_down(self) -> None:
+        """Close the port and reset all watches."""
         for sock in list(self.host.sockets):
             sock.abort()
         self.notify_watches()
 
-    async def _attend(self, sock: VirtualSocket) -> None:
+    async def _handle_connection(self, sock: VirtualSocket) -> None:
         try:
             reader = HttpReader(answers=False)
             while data := await sock.recv():
                 for item in reader.feed(data):
                     if isinstance(item, Head):
-                        await self._watch(sock, item.start_line)
+                        await self._serve_watch(sock, item.start_line)
                         return
         except (OSError, trio.ClosedResourceError, ParseError):
             pass
         finally:
             sock.close()
 
-    async def _watch(self, sock: VirtualSocket, start: bytes) -> None:
-        after = start.partition(b"after=")[2].split(b" ")[0].split(b"&")[0]
+    async def _serve_watch(self, sock: VirtualSocket, start_line: bytes) -> None:
+        after = start_line.partition(b"after=")[2].split(b" ")[0].split(b"&")[0]
         version = int(after) if after.isdigit() else 0
         if self.silent:
             while await sock.recv():
                 pass
             return
         await sock.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        first = True
+        is_first = True
         while not sock.closed and not sock.is_readable():
-            told = self._told
+            changed = self._changed
             if self.malformed_lines:
                 line = self.malformed_lines.pop() + b"\n"
             elif self.stale:
                 line = b"\n"
             else:
                 now = trio.current_time()
-                news = (
-                    self.directory.whole(now) if first and not version else self.directory.since(now, version)
+                update = (
+                    self.directory.whole(now)
+                    if is_first and not version
+                    else self.directory.since(now, version)
                 )
-                first = False
-                if news is not None:
-                    version = news["rev"]
-                line = (json.dumps(news).encode() if news is not None else b"") + b"\n"
+                is_first = False
+                if update is not None:
+                    version = update["rev"]
+                line = (json.dumps(update).encode() if update is not None else b"") + b"\n"
             await sock.send_all(b"%x\r\n%b\r\n" % (len(line), line))
-            wait = KEEP_ALIVE_S
-            visible = self.directory.next_at(trio.current_time())
-            if visible is not None:
-                wait = min(wait, max(visible - trio.current_time(), 0.0))
-            with trio.move_on_after(wait):
-                await told.wait()
+            wait_s = KEEP_ALIVE_S
+            next_change_at = self.directory.next_at(trio.current_time())
+            if next_change_at is not None:
+                wait_s = min(wait_s, max(next_change_at - trio.current_time(), 0.0))
+            with trio.move_on_after(wait_s):
+                await changed.wait()
             if self.silent:
                 while await sock.recv():
                     pass
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -178,7 +178,7 @@
             discovery.stale = False
             discovery.notify_watches()
         case "list-down":
-            discovery.reset_connections()
+            discovery.shut_down()
             await trio.sleep(fault.for_s)
             if discovery is world.discovery:
                 world.nursery.start_soon(discovery.serve, world.nursery)
@@ -193,7 +193,7 @@
             discovery.notify_watches()
             await trio.sleep(fault.for_s)
             discovery.silent = False
-            discovery.reset_connections()
+            discovery.shut_down()
             if discovery is world.discovery:
                 world.nursery.start_soon(discovery.serve, world.nursery)
         case "list-moved":
@@ -206,7 +206,7 @@
                 router.discovery = moved
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
-            discovery.reset_connections()
+            discovery.shut_down()
 
 
 async def router_fault(world: World, fault: FaultPlan) -> None:
