--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The world of virtual time: its network, its oracles on wires written by hand, the router played in it."""
+"""Tests of the simulation: its network, its oracles on hand-written exchanges, and the router run in it."""
 
 from __future__ import annotations
 
@@ -43,152 +43,152 @@
 from sorreldock.routing.subchannel import Subchannel
 
 ROOT = Path(__file__).parent.parent
-FILES = sorted((ROOT / "deploy" / "lab" / "scenarios").glob("*.toml"))
-Story = Callable[[Network], Awaitable[None]]
+SCENARIO_FILES = sorted((ROOT / "deploy" / "lab" / "scenarios").glob("*.toml"))
+NetworkScript = Callable[[Network], Awaitable[None]]
 
 
-def told(weather: NetworkConditions, story: Story, seed: int = 1) -> list[str]:
-    """Run a story between machines of a network; what was recorded."""
+def run_on_network(conditions: NetworkConditions, script: NetworkScript, seed: int = 1) -> list[str]:
+    """Run a script on a simulated network and return the recorded trace."""
     import random
 
     lines: list[str] = []
-    network = Network(random.Random(seed), weather, lines.append)
+    network = Network(random.Random(seed), conditions, lines.append)
     with seeded_scheduler(seed):
-        trio.run(story, network, clock=virtual_clock(network.next_at, network.advance))
+        trio.run(script, network, clock=virtual_clock(network.next_at, network.advance))
     return lines
 
 
-async def pair(network: Network) -> tuple[VirtualSocket, VirtualSocket]:
-    """Both ends of a connection from c1 to r0."""
-    here, there = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
-    listener = there.socket()
+async def connect_pair(network: Network) -> tuple[VirtualSocket, VirtualSocket]:
+    """Return both ends of a connection from c1 to r0."""
+    client, server = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
+    listener = server.socket()
     await listener.bind(("127.0.0.2", 80))
     listener.listen(5)
-    dialling = here.socket()
-    await dialling.connect(("127.0.0.2", 80))
-    taken, _ = await listener.accept()
-    return dialling, taken
+    client_sock = client.socket()
+    await client_sock.connect(("127.0.0.2", 80))
+    server_sock, _ = await listener.accept()
+    return client_sock, server_sock
 
 
-def test_bytes_arrive_whole_in_order_and_after_the_delay_however_they_are_cut() -> None:
-    async def story(network: Network) -> None:
-        one, other = await pair(network)
-        since, data, got = trio.current_time(), bytes(range(256)) * 40, b""
+def test_bytes_arrive_complete_in_order_and_after_the_delay_with_partial_reads_and_writes() -> None:
+    async def script(network: Network) -> None:
+        client, server = await connect_pair(network)
+        started_at, data, received = trio.current_time(), bytes(range(256)) * 40, b""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(one.send_all, data)
-            while len(got) < len(data):
-                got += await other.recv(300)
-        assert got == data and trio.current_time() - since >= 0.05
+            nursery.start_soon(client.send_all, data)
+            while len(received) < len(data):
+                received += await server.recv(300)
+        assert received == data and trio.current_time() - started_at >= 0.05
 
     for seed in range(5):
-        told(
+        run_on_network(
             NetworkConditions(
                 delay_s=0.05, jitter_s=0.1, loss=0.1, partial_io_share=0.5, pipe_capacity_bytes=512
             ),
-            story,
+            script,
             seed,
         )
 
 
-def test_a_writer_waits_for_a_reader_that_does_not_read() -> None:
-    async def story(network: Network) -> None:
-        one, _ = await pair(network)
+def test_a_writer_waits_while_the_reader_does_not_read() -> None:
+    async def script(network: Network) -> None:
+        client, _ = await connect_pair(network)
         with trio.move_on_after(30.0) as scope:
-            await one.send_all(b"x" * 5000)
-        assert scope.cancelled_caught and one.outbox is not None and one.outbox.bytes_written == 4096
-        assert one.outbox.was_full(1.0, 2.0)
+            await client.send_all(b"x" * 5000)
+        assert scope.cancelled_caught and client.outbox is not None and client.outbox.bytes_written == 4096
+        assert client.outbox.was_full(1.0, 2.0)
 
-    told(NetworkConditions(pipe_capacity_bytes=4096), story)
+    run_on_network(NetworkConditions(pipe_capacity_bytes=4096), script)
 
 
-def test_a_close_with_unread_bytes_is_a_reset_and_one_without_is_an_end() -> None:
-    async def story(network: Network) -> None:
-        one, other = await pair(network)
-        other.close()
-        assert await one.recv() == b""
-        await one.send_all(b"too late")  # reaches a closed socket
+def test_a_close_sends_a_reset_if_bytes_are_unread_and_a_fin_otherwise() -> None:
+    async def script(network: Network) -> None:
+        client, server = await connect_pair(network)
+        server.close()
+        assert await client.recv() == b""
+        await client.send_all(b"too late")  # arrives at a closed socket
         await trio.sleep(1.0)
         with pytest.raises(ConnectionResetError):
-            await one.send(b"x")
+            await client.send(b"x")
 
     async def unread(network: Network) -> None:
-        one, other = await pair(network)
-        await one.send_all(b"nobody reads this")
+        client, server = await connect_pair(network)
+        await client.send_all(b"nobody reads this")
         await trio.sleep(1.0)
-        other.close()
+        server.close()
         with pytest.raises(ConnectionResetError):
-            await one.recv()
+            await client.recv()
 
-    told(NetworkConditions(), story)
-    told(NetworkConditions(), unread)
+    run_on_network(NetworkConditions(), script)
+    run_on_network(NetworkConditions(), unread)
 
 
-def test_what_a_partition_holds_arrives_once_it_is_healed_and_one_way_is_one_way() -> None:
-    async def story(network: Network) -> None:
-        one, other = await pair(network)
+def test_a_one_way_partition_blocks_one_direction_and_delivers_its_bytes_after_healing() -> None:
+    async def script(network: Network) -> None:
+        client, server = await connect_pair(network)
         network.cut("c1", "r0")
-        await one.send_all(b"held")
-        await other.send_all(b"heard")
-        assert await one.recv() == b"heard"
+        await client.send_all(b"held")
+        await server.send_all(b"heard")
+        assert await client.recv() == b"heard"
         with trio.move_on_after(20.0) as scope:
-            await other.recv()
+            await server.recv()
         assert scope.cancelled_caught
         network.heal("c1", "r0")
-        assert await other.recv() == b"held"
+        assert await server.recv() == b"held"
 
-    told(NetworkConditions(), story)
+    run_on_network(NetworkConditions(), script)
 
 
-def test_connects_are_refused_never_answered_or_taken_up_once_the_machine_hears() -> None:
-    async def story(network: Network) -> None:
-        here, there = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
+def test_connects_are_refused_without_a_listener_and_get_no_reply_from_unresponsive_hosts() -> None:
+    async def script(network: Network) -> None:
+        client_host, server_host = network.add_host("c1", "127.0.0.1"), network.add_host("r0", "127.0.0.2")
         with pytest.raises(OSError, match="refused"):
-            await here.socket().connect(("127.0.0.2", 80))
-        there.drops_syns = True
+            await client_host.socket().connect(("127.0.0.2", 80))
+        server_host.drops_syns = True
         with trio.move_on_after(60.0) as scope:
-            await here.socket().connect(("127.0.0.2", 80))
+            await client_host.socket().connect(("127.0.0.2", 80))
         assert scope.cancelled_caught
-        there.drops_syns = False
-        there.go_offline()
+        server_host.drops_syns = False
+        server_host.go_offline()
         with trio.move_on_after(60.0) as scope:
-            await here.socket().connect(("127.0.0.2", 80))
+            await client_host.socket().connect(("127.0.0.2", 80))
         assert scope.cancelled_caught
 
-    told(NetworkConditions(), story)
+    run_on_network(NetworkConditions(), script)
 
 
-def test_a_vanished_machine_says_nothing_and_one_that_came_back_knows_no_connection() -> None:
-    async def story(network: Network) -> None:
-        one, other = await pair(network)
-        other.host.go_offline()
-        await one.send_all(b"into the void")
+def test_an_offline_host_does_not_reply_and_resets_old_connections_once_it_is_back() -> None:
+    async def script(network: Network) -> None:
+        client, server = await connect_pair(network)
+        server.host.go_offline()
+        await client.send_all(b"into the void")
         with trio.move_on_after(60.0) as scope:
-            await one.recv()
+            await client.recv()
         assert scope.cancelled_caught
-        other.host.come_back_online()
-        await one.send_all(b"who are you?")
+        server.host.come_back_online()
+        await client.send_all(b"who are you?")
         with pytest.raises(ConnectionResetError):
-            await one.recv()
+            await client.recv()
 
-    told(NetworkConditions(), story)
+    run_on_network(NetworkConditions(), script)
 
 
-def test_readers_cut_messages_at_any_byte_and_name_their_offsets() -> None:
+def test_readers_parse_messages_fed_byte_by_byte_and_report_their_offsets() -> None:
     text = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
         b"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"
     )
     reader = HttpReader(answers=True)
-    items = [item for k in range(len(text)) for item in reader.feed(text[k : k + 1])]
-    assert [type(i) for i in items] == [Head, Part, End, Head, Part, End]
-    assert [i.end for i in items][-1] == len(text) and reader.is_between_messages
+    items = [item for at in range(len(text)) for item in reader.feed(text[at : at + 1])]
+    assert [type(item) for item in items] == [Head, Part, End, Head, Part, End]
+    assert [item.end for item in items][-1] == len(text) and reader.is_between_messages
     with pytest.raises(ParseError):
         list(HttpReader(answers=True).feed(b"\x16\x03\x01 none of this\r\n\r\n"))
     with pytest.raises(ParseError):
         list(FrameReader(preface=True).feed(b"GET / HTTP/1.1\r\n\r\n and more of it"))
 
 
-# The oracles, on wires written by hand: each must see its mistake, and nothing where there is none.
+# The oracles, on hand-written exchanges: each must find its violation, and none in a correct exchange.
 
 FIELDS = b"X-Trace-Id: q\r\nX-Expires-In: 1000000u\r\nContent-Length: 2\r\n"
 REQUEST = b"POST /v1/chat/completions HTTP/1.1\r\n" + FIELDS + b"\r\n{}"
@@ -196,34 +196,39 @@
 ONE, TWO, END = b"9\r\ndata: 1\n\n\r\n", b"9\r\ndata: 2\n\n\r\n", b"0\r\n\r\n"
 
 
-class Wires:
-    """A client, a router and two engines without a program: the test writes what each would."""
+class WireHarness:
+    """The connections of a client, a router and two engines whose sides the test plays itself."""
 
     def __init__(self, network: Network) -> None:
         self.network, self.judge = network, Judge(network)
         self.judge.list_given("r0", [target("u1", 1), target("u2", 2)], True)
 
     async def open(self) -> None:
-        self.client, self.front = await self._pair("c1", "127.0.0.1", "r0", "127.0.0.2", 8080)
-        self.ways = [await self._pair("r0", "127.0.0.2", f"e{k}", f"127.0.2.{k}", 9000) for k in (1, 2)]
-
-    async def _pair(self, a: str, at: str, b: str, to: str, port: int) -> tuple[VirtualSocket, VirtualSocket]:
-        here = self.network.hosts.get(a) or self.network.add_host(a, at)
-        there = self.network.hosts.get(b) or self.network.add_host(b, to)
-        listener = there.socket()
-        await listener.bind((to, port))
+        self.client, self.front = await self._connect_pair("c1", "127.0.0.1", "r0", "127.0.0.2", 8080)
+        self.engine_connections = [
+            await self._connect_pair("r0", "127.0.0.2", f"e{number}", f"127.0.2.{number}", 9000)
+            for number in (1, 2)
+        ]
+
+    async def _connect_pair(
+        self, client: str, client_address: str, server: str, server_address: str, port: int
+    ) -> tuple[VirtualSocket, VirtualSocket]:
+        client_host = self.network.hosts.get(client) or self.network.add_host(client, client_address)
+        server_host = self.network.hosts.get(server) or self.network.add_host(server, server_address)
+        listener = server_host.socket()
+        await listener.bind((server_address, port))
         listener.listen(5)
-        dialling = here.socket()
-        await dialling.connect((to, port))
-        taken, _ = await listener.accept()
-        return dialling, taken
+        client_sock = client_host.socket()
+        await client_sock.connect((server_address, port))
+        server_sock, _ = await listener.accept()
+        return client_sock, server_sock
 
-    async def ask(self) -> None:
+    async def send_request(self) -> None:
         await self.client.send_all(REQUEST)
         await self.front.recv()
 
-    async def attempt(self, k: int, *answer: bytes) -> None:
-        router, engine = self.ways[k]
+    async def send_attempt(self, index: int, *answer: bytes) -> None:
+        router, engine = self.engine_connections[index]
         await router.send_all(REQUEST)
         await engine.recv()
         for part in answer:
@@ -231,57 +236,63 @@
             await router.recv()
 
 
-def target(uid: str, k: int, state: str = "Ready") -> dict[str, str]:
-    return {"uid": uid, "endpoint": f"127.0.2.{k}:9000", "state": state}
+def target(uid: str, number: int, state: str = "Ready") -> dict[str, str]:
+    return {"uid": uid, "endpoint": f"127.0.2.{number}:9000", "state": state}
 
 
-def judged(act: Callable[[Wires], Awaitable[None]]) -> list[str]:
+def violated_rules(exchange: Callable[[WireHarness], Awaitable[None]]) -> list[str]:
+    """Play an exchange and return the rules that the oracles find violated."""
     rules: list[str] = []
 
-    async def story(network: Network) -> None:
-        wires = Wires(network)
-        await wires.open()
-        await act(wires)
+    async def script(network: Network) -> None:
+        harness = WireHarness(network)
+        await harness.open()
+        await exchange(harness)
         await trio.sleep(10.0)
-        wires.judge.conclude()
-        rules.extend(v.rule for v in wires.judge.violations)
+        harness.judge.conclude()
+        rules.extend(violation.rule for violation in harness.judge.violations)
 
-    told(NetworkConditions(), story)
+    run_on_network(NetworkConditions(), script)
     return rules
 
 
-def test_oracles_see_nothing_in_an_answer_passed_on_as_it_comes() -> None:
-    async def act(w: Wires) -> None:
-        await w.ask()
-        await w.attempt(0, HEAD + ONE)
+def test_oracles_find_no_violation_in_an_answer_forwarded_as_it_arrives() -> None:
+    async def exchange(w: WireHarness) -> None:
+        await w.send_request()
+        await w.send_attempt(0, HEAD + ONE)
         await w.front.send_all(HEAD + ONE)
-        router, engine = w.ways[0]
+        router, engine = w.engine_connections[0]
         await engine.send_all(TWO + END)
         await router.recv()
         await w.front.send_all(TWO + END)
 
-    assert judged(act) == []
+    assert violated_rules(exchange) == []
 
 
-def test_oracles_see_no_answer_a_late_one_and_a_second_one() -> None:
-    async def silent(w: Wires) -> None:
-        await w.ask()
+def test_oracles_find_missing_late_and_second_answers() -> None:
+    async def silent(w: WireHarness) -> None:
+        await w.send_request()
 
-    async def late(w: Wires) -> None:
-        await w.ask()
+    async def late(w: WireHarness) -> None:
+        await w.send_request()
         await trio.sleep(1.001)
         await w.front.send_all(b"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n")
 
-    async def twice(w: Wires) -> None:
-        await w.ask()
+    async def twice(w: WireHarness) -> None:
+        await w.send_request()
         for _ in range(2):
             await w.front.send_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 
-    async def gone(w: Wires) -> None:
-        await w.ask()
+    async def client_left(w: WireHarness) -> None:
+        await w.send_request()
         w.client.close()
 
-    assert (judged(silent), judged(late), judged(twice), judged(gone)) == (
+    assert (
+        violated_rules(silent),
+        violated_rules(late),
+        violated_rules(twice),
+        violated_rules(client_left),
+    ) == (
         ["final"],
         ["in-time"],
         ["final"],
@@ -289,61 +300,66 @@
     )
 
 
-def test_oracles_see_attempts_that_overlap_are_repeated_or_come_after_the_notice() -> None:
+def test_oracles_find_attempts_that_overlap_are_repeated_or_follow_a_drain_notice() -> None:
     refused = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
-    async def overlap(w: Wires) -> None:
-        await w.attempt(0)
-        await w.attempt(1)
+    async def overlap(w: WireHarness) -> None:
+        await w.send_attempt(0)
+        await w.send_attempt(1)
 
-    async def in_turn(w: Wires) -> None:
-        await w.attempt(0, refused)
-        await w.attempt(1)
+    async def in_turn(w: WireHarness) -> None:
+        await w.send_attempt(0, refused)
+        await w.send_attempt(1)
 
-    async def left_first(w: Wires) -> None:
-        await w.attempt(0)
-        w.ways[0][0].close()
-        await w.attempt(1)
+    async def left_first(w: WireHarness) -> None:
+        await w.send_attempt(0)
+        w.engine_connections[0][0].close()
+        await w.send_attempt(1)
 
-    async def again(w: Wires) -> None:
-        await w.attempt(0, refused)
-        await w.attempt(0)
+    async def again(w: WireHarness) -> None:
+        await w.send_attempt(0, refused)
+        await w.send_attempt(0)
 
-    async def drained(w: Wires) -> None:
+    async def drained(w: WireHarness) -> None:
         w.judge.list_given("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.2)
-        await w.attempt(0, refused)
+        await w.send_attempt(0, refused)
         await trio.sleep(0.06)
-        await w.attempt(1)
+        await w.send_attempt(1)
 
-    async def after_drain(w: Wires) -> None:
+    async def after_drain(w: WireHarness) -> None:
         w.judge.list_given("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.26)
-        await w.attempt(0)
+        await w.send_attempt(0)
 
-    async def readdressed(w: Wires) -> None:
+    async def readdressed(w: WireHarness) -> None:
         w.judge.list_given("r0", [target("u1", 1, "Gone"), target("u3", 1)], False)
         await trio.sleep(0.26)
-        await w.attempt(0)
+        await w.send_attempt(0)
 
-    assert [judged(a) for a in (overlap, in_turn, left_first, again)] == [["overlap"], [], [], ["resent"]]
-    assert [judged(a) for a in (drained, after_drain, readdressed)] == [[], ["drain"], []]
+    assert [violated_rules(a) for a in (overlap, in_turn, left_first, again)] == [
+        ["overlap"],
+        [],
+        [],
+        ["resent"],
+    ]
+    assert [violated_rules(a) for a in (drained, after_drain, readdressed)] == [[], ["drain"], []]
 
 
 def test_oracles_see_events_changed_held_cut_off_and_streams_made_whole() -> None:
     async def passed(
-        w: Wires, *parts: bytes, wait: float = 0.0, engine: bytes = HEAD + ONE + TWO + END
+        w: WireHarness, *parts: bytes, wait: float = 0.0, engine: bytes = HEAD + ONE + TWO + END
     ) -> None:
-        await w.ask()
-        await w.attempt(0, engine)
+        await w.send_request()
+        await w.send_attempt(0, engine)
         await trio.sleep(wait)
         for part in parts:
             await w.front.send_all(part)
         w.front.close()
-        w.ways[0][0].close()
+        w.engine_connections[0][0].close()
 
     def of(*parts: bytes, **kwargs: object) -> list[str]:
-        return judged(lambda w: passed(w, *parts, **kwargs))  # type: ignore[arg-type]
+        return violated_rules(lambda w: passed(w, *parts, **kwargs))  # type: ignore[arg-type]
 
     assert of(HEAD + ONE + TWO + END) == []
     assert of(HEAD + TWO + ONE + END) == ["unchanged"]
@@ -450,7 +466,7 @@
 }
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", SCENARIO_FILES, ids=lambda p: p.stem)
 def test_a_scenario_breaks_its_rule_without_the_fix_and_none_with_it(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
