--- a/sorreldock/lab/simulation/frames.py
+++ b/sorreldock/lab/simulation/frames.py
@@ -41,11 +41,11 @@
 
     @staticmethod
     def data(stream: int, body: bytes, ends: bool = False) -> bytes:
-        parts = [body[at : at + MAX_FRAME_BYTES] for at in range(0, len(body), MAX_FRAME_BYTES)] or [b""]
+        parts = [body[i : i + MAX_FRAME_BYTES] for i in range(0, len(body), MAX_FRAME_BYTES)] or [b""]
         last = len(parts) - 1
         return b"".join(
-            encode_frame(DATA, END_STREAM if ends and index == last else 0, stream, part)
-            for index, part in enumerate(parts)
+            encode_frame(DATA, END_STREAM if ends and i == last else 0, stream, part)
+            for i, part in enumerate(parts)
         )
 
     @staticmethod
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -180,8 +180,8 @@
     )
     reader = HttpReader(answers=True)
     items = [item for at in range(len(text)) for item in reader.feed(text[at : at + 1])]
-    assert [type(item) for item in items] == [Head, Part, End, Head, Part, End]
-    assert [item.end for item in items][-1] == len(text) and reader.is_between_messages
+    assert [type(i) for i in items] == [Head, Part, End, Head, Part, End]
+    assert [i.end for i in items][-1] == len(text) and reader.is_between_messages
     with pytest.raises(ParseError):
         list(HttpReader(answers=True).feed(b"\x16\x03\x01 none of this\r\n\r\n"))
     with pytest.raises(ParseError):
