--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -21,15 +21,15 @@
 from ...wire import decode_settings
 from ..directory import Entry
 from ..settings import EngineSettings
-from .clients import GRPC_PORT, HTTP_PORT, Machine
-from .determinism import Guard, Passes, seeded, world_clock
+from .clients import GRPC_PORT, HTTP_PORT, ClientHost
+from .determinism import NondeterminismGuard, StallDetector, seeded_scheduler, virtual_clock
 from .engines import VirtualEngine
 from .invariants import InvariantChecker, Violation
 from .library import LibraryClients
 from .lists import VirtualDiscovery
-from .network import Network, Weather
+from .network import Network, NetworkConditions
 from .scenario import REQUEST_CLASSES, RequestPlan, Scenario, ServerPlan
-from .system import EPOCH, VirtualSystem
+from .system import START_UNIX_TIME_S, VirtualSystem
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
 DRAINED_S = 3.0  # time between the announcement and the exit of a server that drains
@@ -70,7 +70,7 @@
 
     def __init__(self, simulation: Simulation, index: int) -> None:
         self.simulation, self.index, self.name = simulation, index, f"r{index}"
-        self.host = simulation.network.host(self.name, f"127.0.1.{index + 1}")
+        self.host = simulation.network.add_host(self.name, f"127.0.1.{index + 1}")
         self.system = VirtualSystem(self.host, 1000 + index)
         self.program: Program | None = None
         self.scope: trio.CancelScope | None = None
@@ -118,7 +118,7 @@
                 return
             checker.report_violation("fault", f"{self.name} failed: {describe_error(error)}", self.name)
         finally:
-            self.host.close_all()
+            self.host.close_sockets()
             self.simulation.network.record(f"ended {self.name}")
             self.ended.set()
 
@@ -132,7 +132,7 @@
 
     def kill(self) -> None:
         self.simulation.checker.killed_at.setdefault(self.incarnation(), trio.current_time())
-        self.host.close_all()
+        self.host.close_sockets()
         if self.scope is not None:
             self.scope.cancel()
 
@@ -162,7 +162,7 @@
         self.trace: list[str] = []
         self.keep_trace = keep_trace
         network_plan = scenario.weather
-        weather = Weather(
+        weather = NetworkConditions(
             network_plan.delay_ms / 1000,
             network_plan.jitter_ms / 1000,
             math.inf,
@@ -173,12 +173,12 @@
         )
         self.network = Network(self.rng, weather, self.record)
         self.checker = InvariantChecker(self.network)
-        self.discovery = VirtualDiscovery(self.network.host("d0", "127.0.3.1"))
+        self.discovery = VirtualDiscovery(self.network.add_host("d0", "127.0.3.1"))
         self.servers: list[VirtualEngine] = []
         self.is_config_broken = False
         self.faults: Counter[str] = Counter()
         self.target_count = 0
-        self.client_hosts: dict[int, Machine] = {}
+        self.client_hosts: dict[int, ClientHost] = {}
         self.nursery: trio.Nursery
         self.routers: list[Router] = []
         self.library = LibraryClients(self)
@@ -252,7 +252,7 @@
         if replaced is not None:
             host = replaced.host
         else:
-            host = self.network.host(f"e{index}", f"127.0.2.{index + 1}")
+            host = self.network.add_host(f"e{index}", f"127.0.2.{index + 1}")
         started_at = now if cold else now - 3600.0
         server = VirtualEngine(self.checker, host, f"u{index}", settings, started_at)
         server.plan = plan
@@ -263,7 +263,7 @@
             self.zones()[plan.zone],
             "gpu",
             index // 2,
-            boot_ms=int((EPOCH + started_at) * 1000),
+            boot_ms=int((START_UNIX_TIME_S + started_at) * 1000),
         )
         self.discovery.publish(entry)
         return server
@@ -308,11 +308,11 @@
             return
         client_host = self.client_hosts.get(plan.machine)
         if client_host is None:
-            host = self.network.host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
-            client_host = self.client_hosts[plan.machine] = Machine(
+            host = self.network.add_host(f"c{plan.machine}", f"127.0.4.{plan.machine + 1}")
+            client_host = self.client_hosts[plan.machine] = ClientHost(
                 host, rng=random.Random(f"{self.scenario.seed} {host.name}")
             )
-        await client_host.ask(key, plan, address, self.nursery)
+        await client_host.send_request(key, plan, address, self.nursery)
 
     async def _check_idle(self) -> None:
         """Close the clients, wait until all requests are over, and check that nothing is left in routers."""
@@ -378,7 +378,7 @@
     `on_start` is called with the simulation before it starts.
     """
     simulation = Simulation(scenario, keep_trace)
-    passes = Passes(
+    passes = StallDetector(
         lambda: simulation.checker.report_violation("rest", "the world stands still and does not rest")
     )
     if on_start is not None:
@@ -391,8 +391,8 @@
             await simulation.run()
         ended_at = trio.current_time()
 
-    clock = world_clock(simulation.network.next_at, simulation.network.advance)
-    with seeded(scenario.seed), Guard(), suppress(KeyboardInterrupt):
+    clock = virtual_clock(simulation.network.next_at, simulation.network.advance)
+    with seeded_scheduler(scenario.seed), NondeterminismGuard(), suppress(KeyboardInterrupt):
         trio.run(main, clock=clock, instruments=[passes])
     checker = simulation.checker
     faults = dict(sorted(simulation.faults.items()))
