--- a/sorreldock/lab/simulation/invariants.py
+++ b/sorreldock/lab/simulation/invariants.py
@@ -242,7 +242,7 @@
             return
         if min(client_gone_at, killed_at) <= rpc.deadline or was_blocked:
             return
-        if tap.router_closed_at is not None and tap.inbound.read < rpc.end_offset:
+        if tap.router_closed_at is not None and tap.inbound.bytes_read < rpc.end_offset:
             stopped_at = self.stop_requested_at.get(tap.incarnation, float("inf"))
             arrived_during_stop = (
                 rpc.arrived_at >= stopped_at + ACCEPTING_AFTER_STOP_S - STOP_RACE_TOLERANCE_S
@@ -273,7 +273,7 @@
                 self.report_violation("unchanged", f"{rpc.key}: not what an engine sent", *pipes)
             elif source.is_complete and tap.client_left_at is None and tap.incarnation not in self.killed_at:
                 was_reset = rpc.key in tap.stream_reset_at
-                if not was_reset and not was_blocked and not tap.outbound.broken:
+                if not was_reset and not was_blocked and not tap.outbound.reset_by_reader:
                     self.report_violation(
                         "whole", f"{rpc.key}: came whole, and was broken off", *pipes, source.pipe
                     )
@@ -297,7 +297,7 @@
         ) or rpc.key in tap.stream_reset_at:
             return False
         last_received_at = source.parts[-1][1] if source.parts else source.sent_at
-        return ended_at < last_received_at + MIN_SERVER_SILENCE_S and not tap.outbound.broken
+        return ended_at < last_received_at + MIN_SERVER_SILENCE_S and not tap.outbound.reset_by_reader
 
     def _check_forwarding_delay(self, rpc: Rpc, source: Attempt) -> None:
         forwarded_bytes, index, received_bytes = 0, -1, 0
--- a/sorreldock/lab/simulation/observers.py
+++ b/sorreldock/lab/simulation/observers.py
@@ -12,7 +12,7 @@
 from ...kserve.framing import parse_timeout
 from .invariants import SERVED_PATH, Attempt, InvariantChecker, Rpc
 from .network import Pipe, VirtualSocket
-from .readers import DATA, HEADERS, RESET, End, Frame, FrameReader, Head, HttpReader, NotReadable, Part
+from .readers import DATA, HEADERS, RST_STREAM, End, Frame, FrameReader, Head, HttpReader, ParseError, Part
 
 
 def attach_tap(checker: InvariantChecker, client_socket: VirtualSocket, server_socket: VirtualSocket) -> None:
@@ -20,13 +20,13 @@
     src, dst = client_socket.host.name, server_socket.host.name
     assert client_socket.outbox is not None and client_socket.inbox is not None
     if dst.startswith("r"):
-        tap_class = HttpFrontTap if server_socket.name[1] == 8080 else H2FrontTap
+        tap_class = HttpFrontTap if server_socket.local_address[1] == 8080 else H2FrontTap
         tap_class(checker, dst, client_socket.outbox, client_socket.inbox)
     elif src.startswith("r") and dst.startswith("e"):
         ServerTap(
             checker,
             src,
-            f"{server_socket.name[0]}:{server_socket.name[1]}",
+            f"{server_socket.local_address[0]}:{server_socket.local_address[1]}",
             client_socket.outbox,
             client_socket.inbox,
         )
@@ -62,13 +62,13 @@
         if not self.is_invalid:
             try:
                 self.read_requests(data)
-            except NotReadable:
+            except ParseError:
                 self.is_invalid = True
 
     def _on_write(self, data: bytes) -> None:
         try:
             self.read_answers(data)
-        except NotReadable as error:
+        except ParseError as error:
             self.checker.report_violation("unchanged", f"a malformed answer: {error}", self.outbound.name)
 
     def read_requests(self, data: bytes) -> None:
@@ -108,7 +108,7 @@
                 self._handle_request(self._head, item.end)
 
     def _handle_request(self, head: Head, end: int) -> None:
-        path = head.start.split(b" ")[1].partition(b"?")[0]
+        path = head.start_line.split(b" ")[1].partition(b"?")[0]
         key = head.fields.get(b"x-trace-id", b"").decode()
         expires = head.fields.get(b"x-expires-in", b"")
         if path != SERVED_PATH or not key or not expires.endswith(b"u"):
@@ -126,14 +126,18 @@
         for item in self._answer_reader.feed(data):
             rpc = self._open_rpc
             if rpc is None or rpc.final_at is not None:
-                if not self.is_invalid and self._request_reader.between and isinstance(item, Head):
+                if (
+                    not self.is_invalid
+                    and self._request_reader.is_between_messages
+                    and isinstance(item, Head)
+                ):
                     self.checker.report_violation(
                         "final", "an answer that no request asked for", self.outbound.name
                     )
                 return
             if isinstance(item, Head):
                 rpc.first_byte_at = now
-                rpc.has_started = item.start.split(b" ")[1] == b"200"
+                rpc.has_started = item.start_line.split(b" ")[1] == b"200"
             elif isinstance(item, Part):
                 if rpc.has_started:
                     rpc.forwarded.append((item.data, now))
@@ -159,11 +163,11 @@
     def read_requests(self, data: bytes) -> None:
         for frame in self._request_reader.feed(data):
             if frame.kind == HEADERS:
-                self._fields[frame.stream] = self._request_reader.fields(frame)
+                self._fields[frame.stream] = self._request_reader.decode_fields(frame)
                 self._messages[frame.stream] = bytearray()
             elif frame.kind == DATA and frame.stream in self._messages:
                 self._messages[frame.stream] += frame.data()
-            elif frame.kind == RESET and frame.stream in self._open_rpcs:
+            elif frame.kind == RST_STREAM and frame.stream in self._open_rpcs:
                 self.stream_reset_at.setdefault(self._open_rpcs[frame.stream].key, trio.current_time())
             if frame.ends and frame.stream in self._messages:
                 self._handle_request(frame.stream, frame.end)
@@ -181,11 +185,11 @@
     def read_answers(self, data: bytes) -> None:
         now = trio.current_time()
         for frame in self._answer_reader.feed(data):
-            fields = self._answer_reader.fields(frame) if frame.kind == HEADERS else {}
+            fields = self._answer_reader.decode_fields(frame) if frame.kind == HEADERS else {}
             rpc = self._open_rpcs.get(frame.stream)
             if rpc is None:
                 continue
-            if frame.kind == RESET:
+            if frame.kind == RST_STREAM:
                 if rpc.first_byte_at is None:
                     self._refused_keys.add(rpc.key)
                 if rpc.final_at is None:
@@ -237,17 +241,17 @@
         inbound.on_end.append(self._on_end)
 
     def _on_end(self, how: str) -> None:
-        if self.inbound.dropped:  # the router can't forward what it can't have read
+        if self.inbound.unread_discarded:  # the router can't forward what it can't have read
             for attempt in [
                 *self._streams.values(),
                 *([self._current_attempt] if self._current_attempt else []),
             ]:
-                attempt.is_complete = attempt.is_complete and attempt.end_offset <= self.inbound.read
+                attempt.is_complete = attempt.is_complete and attempt.end_offset <= self.inbound.bytes_read
 
     def _on_close(self) -> None:
         for attempt in [*self._streams.values(), *([self._current_attempt] if self._current_attempt else [])]:
             if attempt.ended_at is None:
-                attempt.closed_by_router = not (self.inbound.fin or self.inbound.reset)
+                attempt.closed_by_router = not (self.inbound.got_fin or self.inbound.got_reset)
                 if self._http_readers is not None:
                     is_valid = all(is_event_stream(part) for part, _ in attempt.parts)
                 else:
@@ -274,7 +278,7 @@
                 self._read_http_request(self._http_readers[0], data)
             elif self._h2_readers is not None:
                 self._read_h2_request(self._h2_readers[0], data)
-        except NotReadable as error:
+        except ParseError as error:
             self.checker.report_violation(
                 "unchanged", f"a malformed request to an engine: {error}", self.outbound.name
             )
@@ -293,12 +297,12 @@
     def _read_h2_request(self, reader: FrameReader, data: bytes) -> None:
         for frame in reader.feed(data):
             if frame.kind == HEADERS:
-                is_infer = reader.fields(frame).get(":path", "").endswith("Infer")
+                is_infer = reader.decode_fields(frame).get(":path", "").endswith("Infer")
                 if is_infer:
                     self._messages[frame.stream] = bytearray()
             elif frame.kind == DATA and frame.stream in self._messages:
                 self._messages[frame.stream] += frame.data()
-            elif frame.kind == RESET and frame.stream in self._streams:
+            elif frame.kind == RST_STREAM and frame.stream in self._streams:
                 mark_ended(self._streams.pop(frame.stream))
             if frame.ends and frame.stream in self._messages:
                 message = bytes(self._messages.pop(frame.stream))
@@ -313,7 +317,7 @@
             elif self._h2_readers is not None:
                 for frame in self._h2_readers[1].feed(data):
                     self._read_h2_answer(self._h2_readers[1], frame)
-        except NotReadable:
+        except ParseError:
             self._is_unreadable = True  # a server may send anything; the router aborts such a stream
 
     def _read_http_answer(self, reader: HttpReader, data: bytes) -> None:
@@ -323,7 +327,7 @@
             if attempt is None or attempt.ended_at is not None or attempt.is_complete:
                 continue
             if isinstance(item, Head):
-                attempt.has_started = item.start.split(b" ")[1] == b"200"
+                attempt.has_started = item.start_line.split(b" ")[1] == b"200"
             elif isinstance(item, Part):
                 if attempt.has_started:
                     attempt.parts.append((item.data, now))
@@ -332,22 +336,22 @@
                     map(is_event_stream, (p for p, _ in attempt.parts))
                 )
                 attempt.end_offset = item.end
-                self.inbound.when_read(item.end, end_marker(attempt))
+                self.inbound.call_when_read(item.end, end_marker(attempt))
 
     def _read_h2_answer(self, reader: FrameReader, frame: Frame) -> None:
-        fields = reader.fields(frame) if frame.kind == HEADERS else {}
+        fields = reader.decode_fields(frame) if frame.kind == HEADERS else {}
         attempt = self._streams.get(frame.stream)
         if attempt is None or attempt.is_complete:
             return
         if frame.kind == DATA and frame.body:
             attempt.has_started = True
             attempt.parts.append((frame.data(), trio.current_time()))
-        if frame.ends or frame.kind == RESET:
+        if frame.ends or frame.kind == RST_STREAM:
             attempt.is_complete = fields.get("grpc-status") == "0" and is_grpc_framing(
                 attempt.data(), is_complete=True
             )
             attempt.end_offset = frame.end
-            self.inbound.when_read(frame.end, end_marker(attempt))
+            self.inbound.call_when_read(frame.end, end_marker(attempt))
 
 
 def is_grpc_framing(data: bytes, is_complete: bool) -> bool:
@@ -403,7 +407,7 @@
                     *complete_lines, self._partial_line = (self._partial_line + item.data).split(b"\n")
                     for line in filter(bytes.strip, complete_lines):
                         self._handle_line(line)
-        except NotReadable:
+        except ParseError:
             self._is_unreadable = True
 
     def _handle_line(self, line: bytes) -> None:
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -45,32 +45,32 @@
 async def run_server_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
-            server.slower(fault.amount)
+            server.set_slowdown(fault.amount)
             await trio.sleep(fault.for_s)
-            server.slower(1.0)
+            server.set_slowdown(1.0)
         case "errors":
-            server.failing(fault.amount)
+            server.set_fail_share(fault.amount)
             await trio.sleep(fault.for_s)
-            server.failing(0.0)
+            server.set_fail_share(0.0)
         case "full":
             server.full = True
             await trio.sleep(fault.for_s)
             server.full = False
         case "hang":
-            server.hung = True
+            server.hangs = True
             await trio.sleep(fault.for_s)
-            server.hung = False
+            server.hangs = False
         case "pause":
-            server.pause(trio.current_time() + fault.for_s)
+            server.pause_until(trio.current_time() + fault.for_s)
             await trio.sleep(fault.for_s)
         case "spoil":
-            server.spoil, server.spoils = fault.how, 3
+            server.spoil_kind, server.spoils_left = fault.how, 3
             await trio.sleep(fault.for_s)
-            server.spoils = 0
+            server.spoils_left = 0
         case "refuse":
             server.close_port()
             await trio.sleep(fault.for_s)
-            if not server.over:
+            if not server.ended:
                 simulation.nursery.start_soon(server.serve, simulation.nursery)
         case _:
             await run_host_fault(simulation, server, fault)
@@ -81,21 +81,21 @@
     host = server.host
     match fault.kind:
         case "deaf":
-            host.deaf = True
+            host.drops_syns = True
             await trio.sleep(fault.for_s)
-            host.deaf = False
+            host.drops_syns = False
         case "crash":
             server.end()
             await trio.sleep(DISCOVERY_DELAY_S)
-            simulation.discovery.state(server.uid, "Gone")
+            simulation.discovery.set_state(server.uid, "Gone")
             await trio.sleep(fault.for_s)
             simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "vanish":
-            host.vanish()
+            host.go_offline()
             await trio.sleep(fault.for_s + DISCOVERY_DELAY_S)
-            simulation.discovery.state(server.uid, "Gone")
+            simulation.discovery.set_state(server.uid, "Gone")
             server.end()
-            host.come_back()
+            host.come_back_online()
             simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "drain":
             successor = simulation.start_server(server.plan, True)
@@ -103,7 +103,7 @@
             simulation.servers[fault.target] = successor
         case "readdress":
             server.end()
-            simulation.discovery.state(server.uid, "Gone")
+            simulation.discovery.set_state(server.uid, "Gone")
             await trio.sleep(0)  # lets the port become free
             simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "loss":
@@ -111,20 +111,20 @@
             await trio.sleep(fault.for_s)
             host.loss = 0.0
         case "resets":
-            host.reset_all()
+            host.reset_connections()
         case "narrow":
-            host.rate = max(fault.amount, 100.0)
+            host.bandwidth = max(fault.amount, 100.0)
             await trio.sleep(fault.for_s)
-            host.rate = float("inf")
+            host.bandwidth = float("inf")
 
 
 async def drain_server(simulation: Simulation, server: VirtualEngine) -> None:
-    if server.over:
+    if server.ended:
         return
     server.model.drain()
-    simulation.discovery.state(server.uid, "Terminating")
+    simulation.discovery.set_state(server.uid, "Terminating")
     await trio.sleep(SHUTDOWN_S)
-    simulation.discovery.state(server.uid, "Gone")
+    simulation.discovery.set_state(server.uid, "Gone")
     server.end()
 
 
@@ -133,10 +133,10 @@
         case "slowdown":
             servers = list(simulation.servers)
             for server in servers:
-                server.slower(fault.amount)
+                server.set_slowdown(fault.amount)
             await trio.sleep(fault.for_s)
             for server in servers:
-                server.slower(1.0)
+                server.set_slowdown(1.0)
         case "surge":
             plans = simulation.scenario.requests
             if plans:
@@ -158,7 +158,7 @@
             zone = simulation.servers[fault.target % len(simulation.servers)].plan.zone
             async with trio.open_nursery() as nursery:
                 for index, server in enumerate(simulation.servers):
-                    if server.plan.zone == zone and not server.over:
+                    if server.plan.zone == zone and not server.ended:
                         simulation.servers[index] = simulation.start_server(server.plan, True)
                         nursery.start_soon(drain_server, simulation, server)
                         await trio.sleep(DEPLOY_INTERVAL_S)
@@ -171,35 +171,35 @@
             discovery.directory.delay_s = fault.amount
             await trio.sleep(fault.for_s)
             discovery.directory.delay_s = 0.0
-            discovery.wake()
+            discovery.notify_watches()
         case "list-stale":
             discovery.stale = True
             await trio.sleep(fault.for_s)
             discovery.stale = False
-            discovery.wake()
+            discovery.notify_watches()
         case "list-down":
-            discovery.down()
+            discovery.shut_down()
             await trio.sleep(fault.for_s)
             if discovery is simulation.discovery:
                 simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-nonsense":
             lines = (b"{", b"[]", b'{"targets":[{}]}', b'{"rev":"x","targets":[]}', b"\xff\xfe" * 9)
-            discovery.nonsense = [
+            discovery.malformed_lines = [
                 lines[(index + fault.target) % len(lines)] for index in range(simulation.scenario.routers)
             ]
-            discovery.wake()
+            discovery.notify_watches()
         case "list-silent":
             discovery.silent = True
-            discovery.wake()
+            discovery.notify_watches()
             await trio.sleep(fault.for_s)
             discovery.silent = False
-            discovery.down()
+            discovery.shut_down()
             if discovery is simulation.discovery:
                 simulation.nursery.start_soon(discovery.serve, simulation.nursery)
         case "list-moved":
             host_count = len([n for n in simulation.network.hosts if n.startswith("d")])
             new_discovery = VirtualDiscovery(
-                simulation.network.host(f"d{host_count}", f"127.0.3.{host_count + 1}")
+                simulation.network.add_host(f"d{host_count}", f"127.0.3.{host_count + 1}")
             )
             new_discovery.directory = discovery.directory
             simulation.discovery = new_discovery
@@ -208,7 +208,7 @@
                 router.discovery = new_discovery
                 router.system.deliver(signal.SIGHUP)
             await trio.sleep(fault.for_s)
-            discovery.down()
+            discovery.shut_down()
 
 
 async def run_router_fault(simulation: Simulation, fault: FaultPlan) -> None:
@@ -230,7 +230,7 @@
             await trio.sleep(0.1)
             simulation.is_config_broken = False
         case "clock":
-            router.system.wall_ahead_s += fault.amount
+            router.system.wall_offset_s += fault.amount
 
 
 async def drain_router(simulation: Simulation, router: Router, for_s: float) -> None:
