--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -358,18 +358,18 @@
         w.front.close()
         w.engine_connections[0][0].close()
 
-    def violated_rules(*parts: bytes, **kwargs: object) -> list[str]:
+    def rules_after(*parts: bytes, **kwargs: object) -> list[str]:
         return violated_rules(lambda w: forward(w, *parts, **kwargs))  # type: ignore[arg-type]
 
-    assert violated_rules(HEAD + ONE + TWO + END) == []
-    assert violated_rules(HEAD + TWO + ONE + END) == ["unchanged"]
-    assert violated_rules(HEAD + ONE + END) == ["unchanged"]
-    assert violated_rules(HEAD + ONE + TWO + END, delay_s=0.05) == ["at-once"]
-    assert violated_rules(HEAD + ONE) == ["whole"]
-    assert violated_rules(HEAD + ONE + END, server_answer=HEAD + ONE) == [
+    assert rules_after(HEAD + ONE + TWO + END) == []
+    assert rules_after(HEAD + TWO + ONE + END) == ["unchanged"]
+    assert rules_after(HEAD + ONE + END) == ["unchanged"]
+    assert rules_after(HEAD + ONE + TWO + END, delay_s=0.05) == ["at-once"]
+    assert rules_after(HEAD + ONE) == ["whole"]
+    assert rules_after(HEAD + ONE + END, server_answer=HEAD + ONE) == [
         "unchanged"
     ]  # the server's own stream has no end
-    assert violated_rules(HEAD + ONE, server_answer=HEAD + ONE) == ["whole"]  # the router closes it first
+    assert rules_after(HEAD + ONE, server_answer=HEAD + ONE) == ["whole"]  # the router closes it first
 
 
 # The router in the simulation.
