--- a/sorreldock/lab/simulation/__init__.py
+++ b/sorreldock/lab/simulation/__init__.py
@@ -1,3 +1,5 @@
-"""A deterministic simulation of routers: virtual time, an in-memory network, faults scripted from seeds, and
-rules that are checked on the traffic. docs/simulation.md explains its design.
+"""A deterministic simulation of routers in virtual time on an in-memory network.
+
+Seeds determine the scenarios with their faults, and rules are checked on the network traffic. The design is
+explained in docs/simulation.md.
 """
--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -50,9 +50,9 @@
     """An engine on the virtual network, with the faults that a scenario sets."""
 
     def __init__(
-        self, judge: InvariantChecker, host: Host, uid: str, settings: EngineSettings, started_at: float
+        self, checker: InvariantChecker, host: Host, uid: str, settings: EngineSettings, started_at: float
     ) -> None:
-        self.judge, self.host, self.uid, self.settings = judge, host, uid, settings
+        self.checker, self.host, self.uid, self.settings = checker, host, uid, settings
         self.model = Engine(settings, started_at)
         self.hangs = self.full = self.ended = False
         self.paused_until = 0.0
@@ -120,7 +120,7 @@
         if verdict is Verdict.FALLEN:
             if not had_fallen:
                 share = self.model.speed_share(now)
-                self.judge.report_violation(
+                self.checker.report_violation(
                     "cold", f"{self.uid} was pushed over at {share:.2f} of its speed", self.host.name
                 )
             for queue in self._output_queues.values():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -200,8 +200,8 @@
     """The connections of a client, a router and two engines whose sides the test plays itself."""
 
     def __init__(self, network: Network) -> None:
-        self.network, self.judge = network, InvariantChecker(network)
-        self.judge.record_targets("r0", [target("u1", 1), target("u2", 2)], True)
+        self.network, self.checker = network, InvariantChecker(network)
+        self.checker.record_targets("r0", [target("u1", 1), target("u2", 2)], True)
 
     async def open(self) -> None:
         self.client, self.front = await self._connect_pair("c1", "127.0.0.1", "r0", "127.0.0.2", 8080)
@@ -249,8 +249,8 @@
         await harness.open()
         await exchange(harness)
         await trio.sleep(10.0)
-        harness.judge.check_at_end()
-        rules.extend(violation.rule for violation in harness.judge.violations)
+        harness.checker.check_at_end()
+        rules.extend(violation.rule for violation in harness.checker.violations)
 
     run_on_network(NetworkConditions(), script)
     return rules
@@ -321,19 +321,19 @@
         await w.send_attempt(0)
 
     async def drained(w: WireHarness) -> None:
-        w.judge.record_targets("r0", [target("u1", 1, "Terminating")], False)
+        w.checker.record_targets("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.2)
         await w.send_attempt(0, refused)
         await trio.sleep(0.06)
         await w.send_attempt(1)
 
     async def after_drain(w: WireHarness) -> None:
-        w.judge.record_targets("r0", [target("u1", 1, "Terminating")], False)
+        w.checker.record_targets("r0", [target("u1", 1, "Terminating")], False)
         await trio.sleep(0.26)
         await w.send_attempt(0)
 
     async def readdressed(w: WireHarness) -> None:
-        w.judge.record_targets("r0", [target("u1", 1, "Gone"), target("u3", 1)], False)
+        w.checker.record_targets("r0", [target("u1", 1, "Gone"), target("u3", 1)], False)
         await trio.sleep(0.26)
         await w.send_attempt(0)
 
@@ -358,18 +358,18 @@
         w.front.close()
         w.engine_connections[0][0].close()
 
-    def violated_rules(*parts: bytes, **kwargs: object) -> list[str]:
+    def violated_when_forwarding(*parts: bytes, **kwargs: object) -> list[str]:
         return violated_rules(lambda w: forward(w, *parts, **kwargs))  # type: ignore[arg-type]
 
-    assert violated_rules(HEAD + ONE + TWO + END) == []
-    assert violated_rules(HEAD + TWO + ONE + END) == ["unchanged"]
-    assert violated_rules(HEAD + ONE + END) == ["unchanged"]
-    assert violated_rules(HEAD + ONE + TWO + END, delay_s=0.05) == ["at-once"]
-    assert violated_rules(HEAD + ONE) == ["whole"]
-    assert violated_rules(HEAD + ONE + END, server_answer=HEAD + ONE) == [
-        "unchanged"
-    ]  # the server's own stream has no end
-    assert violated_rules(HEAD + ONE, server_answer=HEAD + ONE) == ["whole"]  # the router closes it first
+    assert violated_when_forwarding(HEAD + ONE + TWO + END) == []
+    assert violated_when_forwarding(HEAD + TWO + ONE + END) == ["unchanged"]
+    assert violated_when_forwarding(HEAD + ONE + END) == ["unchanged"]
+    assert violated_when_forwarding(HEAD + ONE + TWO + END, delay_s=0.05) == ["at-once"]
+    assert violated_when_forwarding(HEAD + ONE) == ["whole"]
+    # The server's own stream has no end.
+    assert violated_when_forwarding(HEAD + ONE + END, server_answer=HEAD + ONE) == ["unchanged"]
+    # The router closes the stream before the server does.
+    assert violated_when_forwarding(HEAD + ONE, server_answer=HEAD + ONE) == ["whole"]
 
 
 # The router in the simulation.
