--- a/sorreldock/lab/simulation/clients.py
+++ b/sorreldock/lab/simulation/clients.py
@@ -106,7 +106,7 @@
             else:
                 await self._send_grpc(key, plan, address, nursery)
         except CONNECTION_ERRORS:
-            pass  # the router or the network has failed; the oracles tell which
+            pass  # a fault of the router or the network; the oracles check which one
 
     def close(self) -> None:
         self.host.close_sockets()
--- a/sorreldock/lab/simulation/engines.py
+++ b/sorreldock/lab/simulation/engines.py
@@ -1,4 +1,4 @@
-"""The lab's engine model on the simulation's sockets, with the faults that an engine can have."""
+"""Servers of the simulation: the lab's engine model on virtual sockets, with the faults of servers."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
         return self.outputs.popleft()
 
 
-class VirtualEngine:
-    """An engine on the virtual network, with the faults that a scenario sets."""
+class VirtualServer:
+    """A server on the virtual network with an emulated engine, and the faults that a scenario sets."""
 
     def __init__(
         self, checker: InvariantChecker, host: Host, uid: str, settings: EngineSettings, started_at: float
@@ -204,10 +204,10 @@
 
 
 class HttpConnection:
-    """A connection to a virtual engine over HTTP/1.1."""
+    """A connection to a virtual server over HTTP/1.1."""
 
-    def __init__(self, engine: VirtualEngine, sock: VirtualSocket) -> None:
-        self.engine, self.sock = engine, sock
+    def __init__(self, server: VirtualServer, sock: VirtualSocket) -> None:
+        self.server, self.sock = server, sock
 
     async def run(self, first: bytes) -> None:
         reader, data = HttpReader(answers=False), first
@@ -226,41 +226,41 @@
             data = await self.sock.recv()
 
     async def send_empty_answer(self, status: str, extra: str = "") -> bool:
-        report = f"Endpoint-Load-Metrics: {self.engine.load_report()}\r\n"
+        report = f"Endpoint-Load-Metrics: {self.server.load_report()}\r\n"
         text = f"HTTP/1.1 {status}\r\n{report}{extra}Content-Length: 0\r\n\r\n"
         await self.sock.send_all(text.encode())
         return True
 
     async def handle_request(self, head: Head, body: bytes) -> bool:
         """Answer a request; return whether the connection may carry another one."""
-        engine, sock = self.engine, self.sock
-        await engine.wait_while_paused()
+        server, sock = self.server, self.sock
+        await server.wait_while_paused()
         if not head.start_line.startswith(b"POST "):
             return await self.send_empty_answer("200 OK")
-        if engine.hangs:
-            await engine.receive_until_end(sock)
+        if server.hangs:
+            await server.receive_until_end(sock)
             return False
-        job = engine.parse_job(body)
-        queue = await engine.offer(sock, job)
+        job = server.parse_job(body)
+        queue = await server.offer(sock, job)
         if queue is Verdict.ERROR:
             return await self.send_empty_answer("500 Error")
         if queue is Verdict.FALLEN:
             return False
         if isinstance(queue, Verdict):
             return await self.send_empty_answer("503 Full", "X-Never-Ran: 1\r\n")
-        completed, spoil_kind = False, engine.take_spoil_kind()
+        completed, spoil_kind = False, server.take_spoil_kind()
         try:
             completed = await self._stream(job, queue, spoil_kind)
         finally:
-            engine.finish(sock, job, queue, completed)
-        return completed and not spoil_kind and not engine.plan.brief
+            server.finish(sock, job, queue, completed)
+        return completed and not spoil_kind and not server.plan.brief
 
     async def _stream(self, job: Job, queue: OutputQueue, spoil_kind: str) -> bool:
-        engine, sock, count = self.engine, self.sock, 0
+        server, sock, count = self.server, self.sock, 0
         head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         opening = f"{head}Transfer-Encoding: chunked\r\n\r\n".encode()
         while (output := await queue.get()) is not None:
-            await engine.wait_while_paused()
+            await server.wait_while_paused()
             count += 1
             if spoil_kind and (count > 1 or spoil_kind in REPLACES_FIRST_EVENT or output.done):
                 return await self._send_spoilt(spoil_kind, opening if count == 1 else b"", head.encode())
@@ -271,7 +271,7 @@
                 usage = f'data: {{"choices":[],"usage":{{"prompt_tokens_details":{cached}}}}}\n\n'
                 data += encode_chunk(usage.encode() + b"data: [DONE]\n\n")
                 data += (
-                    encode_chunk(f": Endpoint-Load-Metrics: {engine.load_report()}\n\n".encode())
+                    encode_chunk(f": Endpoint-Load-Metrics: {server.load_report()}\n\n".encode())
                     + b"0\r\n\r\n"
                 )
             await sock.send_all(data)
@@ -294,14 +294,14 @@
                 await sock.send_all(opening + encode_chunk(b"\x00\x01 not an event\n\n") + b"0\r\n\r\n")
             case "half":
                 await sock.send_all(opening + encode_chunk(encode_event(0))[:-20])
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "head":
                 await sock.send_all(head)
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "empty":
                 await sock.send_all(opening)
             case "lost":
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "garbage":
                 await sock.send_all(b"\x16\x03\x01\x02\x00 none of this is HTTP\r\n\r\n")
             case "extra":
@@ -310,10 +310,10 @@
 
 
 class GrpcConnection:
-    """A connection to a virtual engine over gRPC."""
+    """A connection to a virtual server over gRPC."""
 
-    def __init__(self, engine: VirtualEngine, sock: VirtualSocket) -> None:
-        self.engine, self.sock = engine, sock
+    def __init__(self, server: VirtualServer, sock: VirtualSocket) -> None:
+        self.server, self.sock = server, sock
         self.writer = FrameWriter()
 
     async def run(self, first: bytes) -> None:
@@ -346,21 +346,21 @@
 
     def encode_status(self, stream: int, code: int, has_begun: bool, **extra: str) -> bytes:
         """Return the trailers with a status; without a body before them, as a trailers-only answer."""
-        fields = [("endpoint-load-metrics", self.engine.load_report())]
+        fields = [("endpoint-load-metrics", self.server.load_report())]
         fields += [(name.replace("_", "-"), value) for name, value in extra.items()]
         end = trailers(code, "", fields)
         return self.writer.headers(stream, end if has_begun else [*GRPC_ANSWER_HEAD, *end], ends=True)
 
     async def handle_request(self, stream: int, path: str, body: bytes) -> bool:
-        engine, sock = self.engine, self.sock
-        await engine.wait_while_paused()
-        if engine.hangs:
-            await engine.receive_until_end(sock)
+        server, sock = self.server, self.sock
+        await server.wait_while_paused()
+        if server.hangs:
+            await server.receive_until_end(sock)
             return False
         request = pb.ModelInferRequest.FromString(body[5:])
         raw = request.raw_input_contents[0] if request.raw_input_contents else b""
-        job = engine.parse_job(raw[4:])
-        queue = await engine.offer(sock, job)
+        job = server.parse_job(raw[4:])
+        queue = await server.offer(sock, job)
         if queue is Verdict.FALLEN:
             return False
         if isinstance(queue, Verdict):
@@ -369,13 +369,13 @@
             else:
                 await sock.send_all(self.encode_status(stream, Code.UNAVAILABLE, False, x_never_ran="1"))
             return True
-        completed, spoil_kind = False, engine.take_spoil_kind()
+        completed, spoil_kind = False, server.take_spoil_kind()
         try:
             is_unary = not path.endswith("ModelStreamInfer")
             completed = await self._stream(stream, request.id, queue, spoil_kind, is_unary)
         finally:
-            engine.finish(sock, job, queue, completed)
-        return completed and not spoil_kind and not engine.plan.brief
+            server.finish(sock, job, queue, completed)
+        return completed and not spoil_kind and not server.plan.brief
 
     def _message(self, name: str, number: int, is_unary: bool) -> bytes:
         text = f"w{number} ".encode()
@@ -388,11 +388,11 @@
     async def _stream(
         self, stream: int, name: str, queue: OutputQueue, spoil_kind: str, is_unary: bool
     ) -> bool:
-        engine, sock, count = self.engine, self.sock, 0
+        server, sock, count = self.server, self.sock, 0
         while (output := await queue.get()) is not None:
             if is_unary and not output.done:
                 continue
-            await engine.wait_while_paused()
+            await server.wait_while_paused()
             count += 1
             data = self.writer.headers(stream, GRPC_ANSWER_HEAD) if count == 1 else b""
             message = self._message(name, count, is_unary)
@@ -401,10 +401,10 @@
             data += self.writer.data(stream, message)
             if output.done:
                 data += self.encode_status(stream, Code.OK, True)
-                data += self.writer.goaway(stream, 0) if engine.plan.brief else b""
+                data += self.writer.goaway(stream, 0) if server.plan.brief else b""
             await sock.send_all(data)
             if output.done:
-                if engine.plan.brief:  # like a server that closes its socket with unread bytes
+                if server.plan.brief:  # as when a server closes its socket with unread bytes
                     sock.abort()
                 return True
         return False
@@ -417,24 +417,24 @@
                 await sock.send_all(opening + writer.data(stream, message))
             case "reset":
                 await sock.send_all(opening + writer.rst_stream(stream, 2))
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "size":
                 await sock.send_all(
                     opening + writer.data(stream, message[:-3]) + self.encode_status(stream, Code.OK, True)
                 )
             case "noise":
                 await sock.send_all(opening + writer.data(stream, b"\x01" + message[1:]))
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "half":
                 await sock.send_all((opening + writer.data(stream, message))[:-4])
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "head":
                 await sock.send_all(opening[:12])
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "empty":
                 await sock.send_all(opening)
             case "lost":
-                await self.engine.receive_until_end(sock)
+                await self.server.receive_until_end(sock)
             case "garbage":
                 await sock.send_all(b"\xff" * 40)
             case "extra":
--- a/sorreldock/lab/simulation/explore.py
+++ b/sorreldock/lab/simulation/explore.py
@@ -20,7 +20,7 @@
 
 SEEDS_PER_BATCH = 8  # sent to a worker at a time
 WorkerMain = Callable[[Connection, str], None]
-MAX_SCENARIO_WALL_S = 120.0  # of real time for one scenario, after which its process is ended
+MAX_SCENARIO_WALL_S = 120.0  # real time for one scenario, after which its process is ended
 MAX_CRASHES = 20
 
 
@@ -78,7 +78,7 @@
 def explore_scenario(scenario: Scenario) -> ScenarioResult:
     """Run one scenario in this process; violations come with the last steps on the connections concerned."""
     result = run_scenario(scenario)
-    if result.violations:  # again, with its trace: the second run is identical
+    if result.violations:  # run it again with its trace; the second run is identical
         result = run_scenario(scenario, keep_trace=True)
     violations = [
         {"seed": scenario.seed, "rule": v.rule, "at_s": v.at_s, "text": v.text, "last": result.last_steps(v)}
--- a/sorreldock/lab/simulation/invariants.py
+++ b/sorreldock/lab/simulation/invariants.py
@@ -67,7 +67,7 @@
     sent_at: float
     ended_at: float | None = None
     closed_by_router: bool = False  # the router closed the connection before the answer's end
-    is_valid: bool = True  # the answer keeps to its protocol
+    is_valid: bool = True  # the answer conforms to its protocol
     has_started: bool = False  # the answer is a stream, not an error
     is_complete: bool = False
     end_offset: int = 0  # of a complete answer, on its connection
@@ -204,7 +204,7 @@
     # At the end.
 
     def check_at_end(self) -> None:
-        """Check the rules that concern complete requests; to be called when the run has come to rest."""
+        """Check the rules that concern complete requests; to be called at the end of the run."""
         for rpc in self.rpcs:
             if not rpc.is_checked:
                 continue
--- a/sorreldock/lab/simulation/network.py
+++ b/sorreldock/lab/simulation/network.py
@@ -393,7 +393,7 @@
             if inbox.got_reset:
                 raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
             return 0
-        raise BlockingIOError(errno.EAGAIN, "nothing has come")
+        raise BlockingIOError(errno.EAGAIN, "no data available")
 
     async def recv(self, max_bytes: int = 65536) -> bytes:
         buffer = bytearray(max_bytes)
--- a/sorreldock/lab/simulation/runner.py
+++ b/sorreldock/lab/simulation/runner.py
@@ -23,7 +23,7 @@
 from ..settings import EngineSettings
 from .clients import GRPC_PORT, HTTP_PORT, ClientHost
 from .determinism import NondeterminismGuard, StallDetector, seeded_scheduler, virtual_clock
-from .engines import VirtualEngine
+from .engines import VirtualServer
 from .invariants import InvariantChecker, Violation
 from .library import LibraryClients
 from .lists import VirtualDiscovery
@@ -33,10 +33,10 @@
 
 COLD_SHARE, FALL_MULTIPLE, FALL_WINDOW_S = 0.15, 3.0, 3.0
 DRAINED_S = 3.0  # time between the announcement and the exit of a server that drains
-MAX_RUN_S = 300.0  # virtual time after which a simulation that has not come to rest is ended
+MAX_RUN_S = 300.0  # virtual time after which a simulation that still has open requests or routers is ended
 MAX_STOP_S = 75.0
 MAX_LAST_STEPS = 12
-# Marks of log lines with which the program reports its own faults, and rules that it has seen itself violate.
+# Marks of log lines with which the program reports its own faults, and rules of its own that it violated.
 FAULT_LOG_MARKS = (" VIOLATION ", " FRONT ", " MODULE ", "fault in the server client")
 
 
@@ -162,7 +162,7 @@
         self.trace: list[str] = []
         self.keep_trace = keep_trace
         network_plan = scenario.weather
-        weather = NetworkConditions(
+        conditions = NetworkConditions(
             network_plan.delay_ms / 1000,
             network_plan.jitter_ms / 1000,
             math.inf,
@@ -171,10 +171,10 @@
             network_plan.buffer,
             network_plan.reset_drops,
         )
-        self.network = Network(self.rng, weather, self.record)
+        self.network = Network(self.rng, conditions, self.record)
         self.checker = InvariantChecker(self.network)
         self.discovery = VirtualDiscovery(self.network.add_host("d0", "127.0.3.1"))
-        self.servers: list[VirtualEngine] = []
+        self.servers: list[VirtualServer] = []
         self.is_config_broken = False
         self.faults: Counter[str] = Counter()
         self.target_count = 0
@@ -190,7 +190,7 @@
         self._hash.update(b"\n")
         if self.keep_trace:
             self.trace.append(text)
-        if line.startswith("log ") and any(word in line for word in FAULT_LOG_MARKS):
+        if line.startswith("log ") and any(mark in line for mark in FAULT_LOG_MARKS):
             self.checker.report_violation("fault", line[:400], line.split(" ")[1])
 
     # The fleet.
@@ -233,8 +233,8 @@
         return [f"z{index}" for index in range(max(p.zone for p in self.scenario.engines) + 1)]
 
     def start_server(
-        self, plan: ServerPlan, cold: bool, replaced: VirtualEngine | None = None
-    ) -> VirtualEngine:
+        self, plan: ServerPlan, cold: bool, replaced: VirtualServer | None = None
+    ) -> VirtualServer:
         """Start a server, on a host of its own or on that of a replaced server, and publish it."""
         now, index = trio.current_time(), self.target_count
         self.target_count += 1
@@ -254,7 +254,7 @@
         else:
             host = self.network.add_host(f"e{index}", f"127.0.2.{index + 1}")
         started_at = now if cold else now - 3600.0
-        server = VirtualEngine(self.checker, host, f"u{index}", settings, started_at)
+        server = VirtualServer(self.checker, host, f"u{index}", settings, started_at)
         server.plan = plan
         self.nursery.start_soon(server.serve, self.nursery)
         entry = Entry(
@@ -282,7 +282,7 @@
         self.record("end")
 
     async def _run_phases(self) -> None:
-        from .script import run_fault  # a cycle: script imports this module for its types
+        from .script import run_fault  # not at the top: script imports this module
 
         scenario, nursery = self.scenario, self.nursery
         nursery.start_soon(self.discovery.serve, nursery)
@@ -378,7 +378,7 @@
     `on_start` is called with the simulation before it starts.
     """
     simulation = Simulation(scenario, keep_trace)
-    passes = StallDetector(
+    stall_detector = StallDetector(
         lambda: simulation.checker.report_violation("rest", "the world stands still and does not rest")
     )
     if on_start is not None:
@@ -387,13 +387,13 @@
 
     async def main() -> None:
         nonlocal ended_at
-        with passes.scope:
+        with stall_detector.scope:
             await simulation.run()
         ended_at = trio.current_time()
 
     clock = virtual_clock(simulation.network.next_at, simulation.network.advance)
     with seeded_scheduler(scenario.seed), NondeterminismGuard(), suppress(KeyboardInterrupt):
-        trio.run(main, clock=clock, instruments=[passes])
+        trio.run(main, clock=clock, instruments=[stall_detector])
     checker = simulation.checker
     faults = dict(sorted(simulation.faults.items()))
     return RunResult(
--- a/sorreldock/lab/simulation/scenario.py
+++ b/sorreldock/lab/simulation/scenario.py
@@ -22,7 +22,7 @@
     "deaf": "a server's host leaves connection attempts unanswered",
     "crash": "a server's process crashes; a cold one gets its address under a new id",
     "vanish": "a server's host sends nothing more, and returns without the state of its connections",
-    "drain": "a server is told to end, completes its requests and exits; its successor is cold",
+    "drain": "a server gets a stop signal, completes its requests and exits; its successor is cold",
     "readdress": "a server ends, and its address immediately belongs to a new id",
     "deploy": "all servers of a zone are replaced by cold ones, one after the other",
     "slowdown": "all servers are slower by the factor `amount`",
@@ -32,10 +32,10 @@
     "list-down": "discovery's port is closed and its watches are reset",
     "list-nonsense": "discovery sends each router a line that is not a target list",
     "list-silent": "discovery accepts watches and sends nothing",
-    "list-moved": "the routers learn by SIGHUP of another discovery; the first one ends",
-    "stop": "a router is told to stop, and starts again `for_s` after it has ended",
+    "list-moved": "SIGHUP makes the routers use another discovery; the first one ends",
+    "stop": "a router gets SIGTERM, and starts again `for_s` after it has ended",
     "kill": "a router is killed, and starts again",
-    "sent-away": "a router is told to drain its clients, and `for_s` later to accept them again",
+    "sent-away": "an operator makes a router drain its clients, and `for_s` later accept them again",
     "reload": "a router gets SIGHUP, in half of the cases with an unreadable configuration",
     "clock": "a router's wall clock steps by `amount` seconds",
     "partition": "a router is disconnected from a server, a client or discovery, in both directions",
@@ -64,7 +64,7 @@
     delay_ms: NotNegative = 1.0
     jitter_ms: NotNegative = 0.0
     loss: Share = 0.0
-    pieces: Share = 0.0  # of reads and writes that are cut short
+    pieces: Share = 0.0  # share of reads and writes that are cut short
     buffer: Annotated[int, msgspec.Meta(ge=2048)] = 65536
     reset_drops: bool = False  # a reset discards received bytes that are unread
 
@@ -91,7 +91,7 @@
     deadline_s: Positive = 3.0
     prompt_tokens: Count = 200
     output_tokens: Count = 6
-    body_bytes: Annotated[int, msgspec.Meta(ge=0, le=200_000)] = 0  # of padding
+    body_bytes: Annotated[int, msgspec.Meta(ge=0, le=200_000)] = 0  # size of the padding
     prefix: str = ""
 
 
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -13,7 +13,7 @@
 from .scenario import SERVER_FAULTS, FaultPlan, RequestPlan
 
 if TYPE_CHECKING:
-    from .engines import VirtualEngine
+    from .engines import VirtualServer
     from .runner import Router, Simulation
 
 DISCOVERY_DELAY_S = 0.8  # until discovery announces that a host has failed
@@ -42,7 +42,7 @@
     simulation.record(f"fault over {description}")
 
 
-async def run_server_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
+async def run_server_fault(simulation: Simulation, server: VirtualServer, fault: FaultPlan) -> None:
     match fault.kind:
         case "slow":
             server.set_slowdown(fault.amount)
@@ -76,7 +76,7 @@
             await run_host_fault(simulation, server, fault)
 
 
-async def run_host_fault(simulation: Simulation, server: VirtualEngine, fault: FaultPlan) -> None:
+async def run_host_fault(simulation: Simulation, server: VirtualServer, fault: FaultPlan) -> None:
     """Run a fault after which a new server replaces the old one, or a fault of the host's network."""
     host = server.host
     match fault.kind:
@@ -118,7 +118,7 @@
             host.bandwidth = float("inf")
 
 
-async def drain_server(simulation: Simulation, server: VirtualEngine) -> None:
+async def drain_server(simulation: Simulation, server: VirtualServer) -> None:
     if server.ended:
         return
     server.model.drain()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -113,7 +113,7 @@
 
     async def unread(network: Network) -> None:
         client, server = await connect_pair(network)
-        await client.send_all(b"nobody reads this")
+        await client.send_all(b"unread")
         await trio.sleep(1.0)
         server.close()
         with pytest.raises(ConnectionResetError):
@@ -127,14 +127,14 @@
     async def script(network: Network) -> None:
         client, server = await connect_pair(network)
         network.cut("c1", "r0")
-        await client.send_all(b"held")
-        await server.send_all(b"heard")
-        assert await client.recv() == b"heard"
+        await client.send_all(b"delayed")
+        await server.send_all(b"delivered")
+        assert await client.recv() == b"delivered"
         with trio.move_on_after(20.0) as scope:
             await server.recv()
         assert scope.cancelled_caught
         network.heal("c1", "r0")
-        assert await server.recv() == b"held"
+        assert await server.recv() == b"delayed"
 
     run_on_network(NetworkConditions(), script)
 
@@ -161,12 +161,12 @@
     async def script(network: Network) -> None:
         client, server = await connect_pair(network)
         server.host.go_offline()
-        await client.send_all(b"into the void")
+        await client.send_all(b"lost")
         with trio.move_on_after(60.0) as scope:
             await client.recv()
         assert scope.cancelled_caught
         server.host.come_back_online()
-        await client.send_all(b"who are you?")
+        await client.send_all(b"too late")
         with pytest.raises(ConnectionResetError):
             await client.recv()
 
@@ -197,7 +197,7 @@
 
 
 class WireHarness:
-    """The connections of a client, a router and two engines whose sides the test plays itself."""
+    """The connections of a client, a router and two servers, with all sides played by the test."""
 
     def __init__(self, network: Network) -> None:
         self.network, self.checker = network, InvariantChecker(network)
@@ -205,7 +205,7 @@
 
     async def open(self) -> None:
         self.client, self.front = await self._connect_pair("c1", "127.0.0.1", "r0", "127.0.0.2", 8080)
-        self.engine_connections = [
+        self.server_connections = [
             await self._connect_pair("r0", "127.0.0.2", f"e{number}", f"127.0.2.{number}", 9000)
             for number in (1, 2)
         ]
@@ -228,11 +228,11 @@
         await self.front.recv()
 
     async def send_attempt(self, index: int, *answer: bytes) -> None:
-        router, engine = self.engine_connections[index]
+        router, server = self.server_connections[index]
         await router.send_all(REQUEST)
-        await engine.recv()
+        await server.recv()
         for part in answer:
-            await engine.send_all(part)
+            await server.send_all(part)
             await router.recv()
 
 
@@ -261,8 +261,8 @@
         await w.send_request()
         await w.send_attempt(0, HEAD + ONE)
         await w.front.send_all(HEAD + ONE)
-        router, engine = w.engine_connections[0]
-        await engine.send_all(TWO + END)
+        router, server = w.server_connections[0]
+        await server.send_all(TWO + END)
         await router.recv()
         await w.front.send_all(TWO + END)
 
@@ -313,7 +313,7 @@
 
     async def left_first(w: WireHarness) -> None:
         await w.send_attempt(0)
-        w.engine_connections[0][0].close()
+        w.server_connections[0][0].close()
         await w.send_attempt(1)
 
     async def again(w: WireHarness) -> None:
@@ -356,7 +356,7 @@
         for part in parts:
             await w.front.send_all(part)
         w.front.close()
-        w.engine_connections[0][0].close()
+        w.server_connections[0][0].close()
 
     def violated_when_forwarding(*parts: bytes, **kwargs: object) -> list[str]:
         return violated_rules(lambda w: forward(w, *parts, **kwargs))  # type: ignore[arg-type]
