--- a/sorreldock/lab/charts.py
+++ b/sorreldock/lab/charts.py
@@ -32,7 +32,7 @@
             fontsize=10,
         )
         axis.set_ylabel("connections")
-    axes[-1].set_xlabel("seconds since all routers were told to stop")
+    axes[-1].set_xlabel("seconds since the first SIGTERM")
     figure.suptitle(f"{figures['library']['clients']} clients, all routers restarted")
     directory.mkdir(parents=True, exist_ok=True)
     paths = [directory / f"reconnect.{kind}" for kind in ("svg", "png")]
--- a/sorreldock/lab/directory.py
+++ b/sorreldock/lab/directory.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One engine in the list, with the platform's attributes."""
+    """One server in the list, with the platform's attributes."""
 
     uid: str
     endpoint: str
@@ -40,7 +40,7 @@
 
 
 class Directory:
-    """A versioned list of engines; changes become visible in order, `delay_s` after they are published."""
+    """A versioned list of servers; changes become visible in order, `delay_s` after they are published."""
 
     def __init__(self, delay_s: float = 0.0) -> None:
         self.delay_s = delay_s
@@ -59,7 +59,7 @@
             self._apply(self._changes.pop(0))
 
     def set_state(self, now: float, uid: str, state: str) -> None:
-        """Publish a new state of an engine; KeyError if it was never published."""
+        """Publish a new state of a server; KeyError if it was never published."""
         latest = next((e for _, _, e in reversed(self._changes) if e.uid == uid), self._entries.get(uid))
         if latest is None:
             raise KeyError(uid)
--- a/sorreldock/lab/engine.py
+++ b/sorreldock/lab/engine.py
@@ -130,7 +130,7 @@
             return Verdict.ERROR
         if len(self.waiting) >= s.queue and len(self.running) >= s.batch:
             return Verdict.FULL
-        if self._is_pushed_over(now, job):
+        if self._is_overloaded_while_cold(now, job):
             self.fall_over()
             return Verdict.FALLEN
         return Verdict.ACCEPTED
@@ -140,7 +140,7 @@
         s = self.settings
         return job.prompt_tokens / s.prompt_tokens_per_s + job.output_tokens * s.step_s / s.batch
 
-    def _is_pushed_over(self, now: float, job: Job) -> bool:
+    def _is_overloaded_while_cold(self, now: float, job: Job) -> bool:
         s = self.settings
         share = self.speed_share(now)
         if share >= 1.0:
@@ -164,7 +164,7 @@
         return names
 
     def cancel(self, now: float, name: str) -> bool:
-        """Cancel a request whose client has gone, and return whether it was dropped.
+        """Cancel a request whose client has disconnected, and return whether it was dropped.
 
         A waiting request is dropped if `drop_cancelled` is set; a running one completes, as in the batches of
         real servers.
--- a/sorreldock/lab/settings.py
+++ b/sorreldock/lab/settings.py
@@ -34,15 +34,14 @@
     crowd: NotNegative = 0.5  # share by which a full batch lengthens a step
     prompt_tokens_per_s: Positive = 20_000.0
     chunk_tokens: Count = 4096  # of prompts read within one step
-    cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = (
-        0.12  # share of the warm speed right after the start
-    )
+    # Share of the warm speed right after the start.
+    cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.12
     warm_up_s: NotNegative = 0.0  # time from the start to full speed; 0: the engine starts warm
-    fall_multiple: Positive = 2.5  # a cold engine falls over if offered this multiple of its speed ...
-    fall_window_s: Positive = 3.0  # ... over this time
-    slow: Positive = 1.0  # factor by which the engine is slower than these settings say
+    fall_multiple: Positive = 2.5  # a cold engine falls over if offered more than this multiple of its speed
+    fall_window_s: Positive = 3.0  # time over which the offered work is measured
+    slow: Positive = 1.0  # factor by which the engine is slower than the other settings specify
     fail_share: Share = 0.0  # share of the requests that are answered with an error at once
-    drop_cancelled: bool = True  # drop a waiting request when its client has gone
+    drop_cancelled: bool = True  # drop a waiting request when its client has disconnected
     report_every_s: NotNegative = 0.2  # maximum age of a load report
     connections: Count = 512
     tokens_per_event: Count = 4
--- a/sorreldock/lab/simulation/scenario.py
+++ b/sorreldock/lab/simulation/scenario.py
@@ -257,7 +257,8 @@
             if fault.kind in SERVER_FAULTS and faults[-1].kind in SERVER_FAULTS:
                 fault = msgspec.structs.replace(fault, target=faults[-1].target)
         faults.append(fault)
-    seen_targets: set[tuple[str, int]] = set()  # a host is restarted once, and discovery moves once
+    # Each host is restarted at most once, and discovery moves at most once.
+    used_targets: set[tuple[str, int]] = set()
     kept_faults = []
     for fault in sorted(faults, key=lambda f: f.at_s):
         family = (
@@ -267,9 +268,9 @@
             if fault.kind in REPLACING_FAULTS
             else fault.kind
         )
-        if family in ("router", "server", "list-moved") and (family, fault.target) in seen_targets:
+        if family in ("router", "server", "list-moved") and (family, fault.target) in used_targets:
             continue
-        seen_targets.add((family, fault.target))
+        used_targets.add((family, fault.target))
         kept_faults.append(fault)
     network_plan = NetworkPlan(
         delay_ms=rng.choice((0.2, 1.0, 5.0)),
--- a/sorreldock/lab/simulation/script.py
+++ b/sorreldock/lab/simulation/script.py
@@ -16,11 +16,11 @@
     from .engines import VirtualServer
     from .runner import Router, Simulation
 
-DISCOVERY_DELAY_S = 0.8  # until discovery announces that a host has failed
-SHUTDOWN_S = 2.0  # from the announcement that a server will end until its process has ended
+DISCOVERY_DELAY_S = 0.8  # delay until discovery announces that a host has failed
+SHUTDOWN_S = 2.0  # from the announcement that a server will end to the end of its process
 DEPLOY_INTERVAL_S = 0.8
 IDLE_DRAIN_S = 2.0  # after which a drained router holds no idle connections; the platform allows 4 s
-MIN_IDLE_S = 1.5  # for which a connection has had no request, to count as idle
+MIN_IDLE_S = 1.5  # a connection without a request for this long counts as idle
 
 
 async def run_fault(simulation: Simulation, fault: FaultPlan) -> None:
@@ -104,7 +104,7 @@
         case "readdress":
             server.end()
             simulation.discovery.set_state(server.uid, "Gone")
-            await trio.sleep(0)  # lets the port become free
+            await trio.sleep(0)  # yield, so that the port becomes free
             simulation.servers[fault.target] = simulation.start_server(server.plan, True, server)
         case "loss":
             host.loss = fault.amount
@@ -238,7 +238,7 @@
     program, incarnation = router.program, router.incarnation()
     if program is None or router.ended.is_set():
         return
-    if not program.operator_commands.drain().startswith("ok"):  # it is stopping already
+    if not program.operator_commands.drain().startswith("ok"):  # the router is already stopping
         return
     with trio.move_on_after(for_s):
         await trio.sleep(IDLE_DRAIN_S)
--- a/sorreldock/lab/soak/invariants.py
+++ b/sorreldock/lab/soak/invariants.py
@@ -9,8 +9,8 @@
 
 ANSWER_SLACK_S = 0.5  # an answer this long after its time limit has no value, a later one counts as lost
 CANCEL_LAG_S = 0.1  # an attempt may still begin this long after its client closed the connection
-DRAIN_GRACE_S = 0.25  # after the notification of the router
-NOTIFICATION_S = 6.0  # a router must know of a change this long after it is in a reachable discovery
+DRAIN_GRACE_S = 0.25  # an attempt may still begin this long after the router was notified
+NOTIFICATION_S = 6.0  # time within which a router must receive a change from a reachable discovery
 TIMEOUT_SLACK_S = 0.15  # by which a server's time limit may exceed the time that the client has left
 CLOSE_LAG_S = 0.02  # a server may see the end of a connection this long after the next attempt has begun
 KILL_GRACE_S = 0.7  # requests sent later than this after SIGTERM are not excused by SIGKILL
--- a/sorreldock/lab/soak/routers.py
+++ b/sorreldock/lab/soak/routers.py
@@ -84,7 +84,7 @@
         return self._serving
 
     async def start(self) -> None:
-        """Start a process and wait until its log says that it serves; RuntimeError if it exits first."""
+        """Start a process and wait until its log reports that it serves; RuntimeError if it exits first."""
         previous_starts = self.log.read_bytes().count(b"PHASE - serving") if self.log.exists() else 0
         with open(self.log, "ab") as log:
             self._process = start_command(
--- a/sorreldock/lab/soak/runner.py
+++ b/sorreldock/lab/soak/runner.py
@@ -155,7 +155,7 @@
         await client.close()
 
     async def _measure_lag(self) -> None:
-        """Measure how late the timers of this process fire, since the checks compare times that it took."""
+        """Measure how late the timers of this process fire, as the checks compare times that it recorded."""
         while True:
             due = trio.current_time() + LAG_INTERVAL_S
             await trio.sleep_until(due)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
 def test_a_plan_depends_on_its_seed_and_its_faults_overlap() -> None:
     plan = draw_plan(3, 60.0, 2.0)
     assert plan == draw_plan(3, 60.0, 2.0) != draw_plan(4, 60.0, 2.0)
-    assert {trouble.kind for trouble in plan} == set(FaultKind)
+    assert {fault.kind for fault in plan} == set(FaultKind)
     assert any(b.at < a.at + a.lasts for a, b in pairwise(plan))
 
 
