--- a/sorreldock/lab/simulation/network.py
+++ b/sorreldock/lab/simulation/network.py
@@ -213,7 +213,7 @@
             self._read_callbacks.append((offset, callback))
 
     def was_full(self, since: float, until: float) -> bool:
-        """Tell whether a writer waited for space at some time in this interval."""
+        """Return whether a writer waited for space at some time in this interval."""
         if self.full_since is not None and self.full_since <= until:
             return True
         return any(begin <= until and end >= since for begin, end in self.full_intervals)
@@ -277,9 +277,9 @@
         self.peer_address = address
         network = self.network
         network.record(f"connect {self.host.name}:{self.local_address[1]} {address[0]}:{address[1]}")
-        target = network.hosts_by_address.get(address[0])
-        if target is not None:
-            network.schedule_after(network.draw_delay(self.host, target), self._handle_syn, target, 1)
+        dst = network.hosts_by_address.get(address[0])
+        if dst is not None:
+            network.schedule_after(network.draw_delay(self.host, dst), self._handle_syn, dst, 1)
         while self.outbox is None and self._connect_errno is None:
             await self._waiting.park()
             if self.closed:
@@ -287,47 +287,47 @@
         if self._connect_errno is not None:
             raise OSError(self._connect_errno, "connection refused")
 
-    def _handle_syn(self, target: Host, attempt: int) -> None:
-        """Process the arrival of a SYN at the target; a SYN that gets no reply is sent again."""
+    def _handle_syn(self, dst: Host, attempt: int) -> None:
+        """Process the arrival of a SYN at its destination; a SYN that gets no reply is sent again."""
         network = self.network
         if self.closed or not self.host.up:
             return
-        cut = network.is_cut(self.host, target) or network.is_cut(target, self.host)
-        listener = target.listeners.get(self.peer_address[1])
+        cut = network.is_cut(self.host, dst) or network.is_cut(dst, self.host)
+        listener = dst.listeners.get(self.peer_address[1])
         queue = listener._accept_queue if listener is not None else None
         full = listener is not None and queue is not None and len(queue) >= listener._backlog
-        if cut or not target.up or target.drops_syns or full:
+        if cut or not dst.up or dst.drops_syns or full:
             if attempt < MAX_SYNS:
-                network.schedule_after(SYN_RETRY_S, self._handle_syn, target, attempt + 1)
+                network.schedule_after(SYN_RETRY_S, self._handle_syn, dst, attempt + 1)
             return
-        return_delay = network.draw_delay(target, self.host)
+        return_delay = network.draw_delay(dst, self.host)
         if listener is None:
             if network.on_refused is not None:
-                network.on_refused(self.host, target)
+                network.on_refused(self.host, dst)
             network.schedule_after(return_delay, self._refuse_connect)
         else:
-            network.schedule_after(return_delay, self._established, target, listener)
+            network.schedule_after(return_delay, self._established, dst, listener)
 
     def _refuse_connect(self) -> None:
         self.network.record(f"refused {self.host.name}:{self.local_address[1]}")
         self._connect_errno = errno.ECONNREFUSED
         self._waiting.unpark_all()
 
-    def _established(self, target: Host, listener: VirtualSocket) -> None:
+    def _established(self, dst: Host, listener: VirtualSocket) -> None:
         network = self.network
-        if self.closed or not target.up:
+        if self.closed or not dst.up:
             return
         if listener.closed:
             self._refuse_connect()
             return
-        accepted = target.socket()
+        accepted = dst.socket()
         accepted.local_address, accepted.peer_address = listener.local_address, self.local_address
-        ends = f"{self.host.name}:{self.local_address[1]}", f"{target.name}:{listener.local_address[1]}"
-        outgoing = Pipe(network, f"{ends[0]}>{ends[1]}", self.host, target)
-        incoming = Pipe(network, f"{ends[1]}>{ends[0]}", target, self.host)
+        ends = f"{self.host.name}:{self.local_address[1]}", f"{dst.name}:{listener.local_address[1]}"
+        outgoing = Pipe(network, f"{ends[0]}>{ends[1]}", self.host, dst)
+        incoming = Pipe(network, f"{ends[1]}>{ends[0]}", dst, self.host)
         outgoing.reverse, incoming.reverse = incoming, outgoing
         self.outbox, self.inbox, accepted.outbox, accepted.inbox = outgoing, incoming, incoming, outgoing
-        arrives_at = trio.current_time() + network.draw_delay(self.host, target)
+        arrives_at = trio.current_time() + network.draw_delay(self.host, dst)
         outgoing.last_arrival_at = arrives_at
         network.schedule_at(arrives_at, listener._enqueue, accepted)
         network.record(f"open {outgoing.name}")
